--- a/packages/buckthornwall-standins/src/buckthornwall_standins/pool_sim/engine.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/pool_sim/engine.py
@@ -1,7 +1,7 @@
 """Model engines in simulated time.
 
 An engine generates one token of each running stream in a step and reads one piece of
-the most urgent prompt beside it. Parts that it has read stay until others need the
+the most urgent prompt beside it. Segments that it has read stay until others need the
 room.
 """
 
@@ -51,13 +51,13 @@
     Attributes
     ----------
     held : OrderedDict
-        Tokens of the parts that it has read, the least recently used first.
+        Tokens of the segments that it has read, the least recently used first.
     running : list
         Requests whose prompt was read.
     waiting : list
         A heap of rank, number and request.
     fresh_tokens, again_tokens : int
-        Prompt tokens read so far, and those of them of shared parts that some engine
+        Prompt tokens read so far, and those of them of shared segments that some engine
         had read before.
     """
 
@@ -128,9 +128,9 @@
 
     def _keep(self, request: SimRequest) -> None:
         """Keep what was read, in the room that running requests leave."""
-        for part in request.prompt.parts:
-            self.held[part.id] = part.tokens
-            self.held.move_to_end(part.id)
+        for segment in request.prompt.segments:
+            self.held[segment.id] = segment.tokens
+            self.held.move_to_end(segment.id)
         used = sum(each.prompt.prompt_tokens for each in self.running)
         room = self.speed.memory_tokens - used
         total = sum(self.held.values())
@@ -139,10 +139,10 @@
 
     def _held_of(self, request: SimRequest) -> int:
         tokens = 0
-        for part in request.prompt.parts:
-            if part.id not in self.held:
+        for segment in request.prompt.segments:
+            if segment.id not in self.held:
                 break
-            tokens += part.tokens
+            tokens += segment.tokens
         return tokens
 
     def _read(self, request: SimRequest) -> float:
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/pool_sim/simulation.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/pool_sim/simulation.py
@@ -13,7 +13,7 @@
     add_unreachable,
     merge_held,
 )
-from buckthornwall.routing import PromptPart, PromptShape
+from buckthornwall.routing import PromptSegment, PromptShape
 from buckthornwall.utils import ModelId, UpstreamId
 
 from buckthornwall_standins.tiers import Attempted
@@ -175,15 +175,15 @@
         shared = _length(of_subject, traffic.shared_tokens, 0.6, spread)
         own = _length(self.draw, traffic.own_tokens, 0.7, spread)
         answer = max(8, _length(self.draw, traffic.answer_tokens, 0.8, spread))
-        parts = [
-            PromptPart(f"{traffic.name}{subject}", shared),
-            PromptPart(f"own{next(self._numbers)}", own),
+        segments = [
+            PromptSegment(f"{traffic.name}{subject}", shared),
+            PromptSegment(f"own{next(self._numbers)}", own),
         ]
         if traffic.root_tokens:
-            parts.insert(0, PromptPart(traffic.name, traffic.root_tokens))
+            segments.insert(0, PromptSegment(traffic.name, traffic.root_tokens))
         most = 2 * traffic.answer_tokens
-        tokens = sum(part.tokens for part in parts)
-        prompt = PromptShape(ModelId("m"), tokens, most, tuple(parts))
+        tokens = sum(segment.tokens for segment in segments)
+        prompt = PromptShape(ModelId("m"), tokens, most, tuple(segments))
         return SimRequest(traffic, at, prompt, answer)
 
     def _arrive(self, request: SimRequest) -> None:
@@ -246,7 +246,7 @@
             instance.register(engine.id, self.speed)
 
     def _tell(self, seconds: float) -> None:
-        """Let each instance know of the others' work and of the parts sent."""
+        """Let each instance know of the others' work and of the segments sent."""
         now = self.clock.now()
         works = [instance.work() for instance in self.instances]
         totals: dict[UpstreamId, Work] = {}
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/soak_run.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/soak_run.py
@@ -27,7 +27,7 @@
 RESTART_PAUSE_S = 0.5
 
 
-# Different shared parts of prompts, so that all engines have work.
+# Different shared segments of prompts, so that all engines have work.
 SUBJECTS = 24
 
 
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/tier_soak.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/tier_soak.py
@@ -127,9 +127,9 @@
         request = f"r{next(self.numbers)}"
         instance = self.draw.randint(1, self.count)
         subject = self.draw.randrange(kind.subjects)
-        parts = f"{kind.tier}{subject:x}:{kind.shared},f{request[1:]}:{kind.own}"
+        segments = f"{kind.tier}{subject:x}:{kind.shared},f{request[1:]}:{kind.own}"
         tokens = kind.shared + kind.own
-        prompt = (f"{tokens},{kind.events}", parts)
+        prompt = (f"{tokens},{kind.events}", segments)
         headers = call_headers(request, HOST, KEY, kind.deadline_s, prompt)
         at = self._now()
         begun_at, end = await self._exchange(kind, instance, headers)
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/users_platform/engine.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/users_platform/engine.py
@@ -21,10 +21,10 @@
 
 @dataclass(eq=False)
 class _Prompt:
-    """One request there: the parts that it has still to read."""
+    """One request there: the segments that it has still to read."""
 
     unread: int
-    parts: dict[bytes, int]
+    segments: dict[bytes, int]
     read: trio.Event = field(default_factory=trio.Event)
     is_left: bool = False
 
@@ -40,7 +40,7 @@
     event_s : float
         Seconds between the events of a stream.
     held : set
-        Parts that it has read.
+        Segments that it has read.
     """
 
     id: str
@@ -75,13 +75,13 @@
             if not prompt.unread:
                 self._waiting = [e for e in self._waiting if e[2] is not prompt]
                 heapq.heapify(self._waiting)
-                self.held.update(prompt.parts)
+                self.held.update(prompt.segments)
                 prompt.read.set()
 
     async def _handle(self, incoming: IncomingRequest, answer: Answer) -> None:
         found = dict(incoming.headers)
         rank = int(found.get(b"x-buckthornwall-request-priority", NO_PRIORITY))
-        async with self._wait(rank, _parts(found)) as prompt:
+        async with self._wait(rank, _segments(found)) as prompt:
             await prompt.read.wait()
         self.running += 1
         try:
@@ -91,9 +91,11 @@
             self._come.set()
 
     @asynccontextmanager
-    async def _wait(self, rank: int, parts: dict[bytes, int]) -> AsyncIterator[_Prompt]:
-        unread = sum(n for part, n in parts.items() if part not in self.held)
-        prompt = _Prompt(max(1, unread), parts)
+    async def _wait(
+        self, rank: int, segments: dict[bytes, int]
+    ) -> AsyncIterator[_Prompt]:
+        unread = sum(n for segment, n in segments.items() if segment not in self.held)
+        prompt = _Prompt(max(1, unread), segments)
         heapq.heappush(self._waiting, (rank, next(self._numbers), prompt))
         self._come.set()
         try:
@@ -116,8 +118,8 @@
         await answer.end()
 
 
-def _parts(found: dict[bytes, bytes]) -> dict[bytes, int]:
-    """Return the tokens of a prompt's parts."""
+def _segments(found: dict[bytes, bytes]) -> dict[bytes, int]:
+    """Return the tokens of a prompt's segments."""
     entries = found[b"x-buckthornwall-prompt-prefix"].split(b",")
     pairs = (entry.partition(b":") for entry in entries)
-    return {part: int(tokens) for part, _, tokens in pairs}
+    return {segment: int(tokens) for segment, _, tokens in pairs}
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/users_platform/wire.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/users_platform/wire.py
@@ -24,7 +24,7 @@
     patience_s
         How long its caller waits, in seconds.
     prompt
-        Token counts and parts of a prompt, as they are sent; None without one.
+        Token counts and segments of a prompt, as they are sent; None without one.
     body
         What is sent after the headers.
     """
@@ -36,9 +36,9 @@
         (b"Content-Length", b"%d" % len(body)),
     ]
     if prompt is not None:
-        counts, parts = prompt
+        counts, segments = prompt
         headers.append((PREFIX + b"Token-Count", counts.encode()))
-        headers.append((PREFIX + b"Prompt-Prefix", parts.encode()))
+        headers.append((PREFIX + b"Prompt-Prefix", segments.encode()))
     return headers
 
 
--- a/packages/buckthornwall/src/buckthornwall/platform/codec.py
+++ b/packages/buckthornwall/src/buckthornwall/platform/codec.py
@@ -6,7 +6,7 @@
 from buckthornwall.forwarding import Reply, Sending
 from buckthornwall.http1 import IncomingRequest, ReplyHead
 from buckthornwall.pools import LoadReport
-from buckthornwall.routing import PromptPart, PromptShape, RoutedRequest
+from buckthornwall.routing import PromptSegment, PromptShape, RoutedRequest
 from buckthornwall.utils import ModelId
 
 from . import names
@@ -88,19 +88,19 @@
             model=ModelId(found.get(names.MODEL, b"").decode("latin-1")),
             prompt_tokens=int(tokens_in),
             max_output_tokens=int(tokens_out or b"0"),
-            parts=_parts(found.get(names.PROMPT_PARTS, b"")),
+            segments=_segments(found.get(names.PROMPT_SEGMENTS, b"")),
         )
     except ValueError as error:
         raise Refusal(ResultCode.MALFORMED_BODY, "prompt sizes") from error
 
 
-def _parts(value: bytes) -> tuple[PromptPart, ...]:
-    parts = []
+def _segments(value: bytes) -> tuple[PromptSegment, ...]:
+    segments = []
     for entry in value.split(b","):
         if entry.strip():
-            part_id, _, tokens = entry.strip().rpartition(b":")
-            parts.append(PromptPart(part_id.decode("latin-1"), int(tokens)))
-    return tuple(parts)
+            segment_id, _, tokens = entry.strip().rpartition(b":")
+            segments.append(PromptSegment(segment_id.decode("latin-1"), int(tokens)))
+    return tuple(segments)
 
 
 class PlatformCodec:
--- a/packages/buckthornwall/src/buckthornwall/platform/names.py
+++ b/packages/buckthornwall/src/buckthornwall/platform/names.py
@@ -11,8 +11,8 @@
 EXPECT_INSTANCE = PREFIX + b"expect-instance"
 # Prompt tokens and the most output tokens, separated by a comma.
 TOKEN_COUNT = PREFIX + b"token-count"
-# ID:TOKENS of each part in order; the last belongs to the request alone.
-PROMPT_PARTS = PREFIX + b"prompt-prefix"
+# ID:TOKENS of each prompt segment in order; the last belongs to the request alone.
+PROMPT_SEGMENTS = PREFIX + b"prompt-prefix"
 MODEL = PREFIX + b"model"
 # 0 is first, 9 last.
 PRIORITY = PREFIX + b"request-priority"
@@ -24,7 +24,7 @@
 # Requests a second, a decimal number, that an upstream takes from all instances.
 RATE_LIMIT = b"server-limit"
 LAST_EVENT_ID = b"last-event-id"
-# IP:port of an engine from which the parts that are missing are copied.
+# IP:port of an engine from which the missing prompt segments are copied.
 COPY_FROM = b"kv-fetch"
 
 # What only the system may ask of an upstream; a caller's are dropped.
--- a/packages/buckthornwall/src/buckthornwall/pools/placement.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/placement.py
@@ -194,7 +194,7 @@
     view: UpstreamView, wanted: PlacementRequest, place: int, now: float
 ) -> _Offer:
     prompt = wanted.prompt
-    shared = sum(part.tokens for part in prompt.parts[:-1])
+    shared = sum(segment.tokens for segment in prompt.segments[:-1])
     held = view.prefixes.held(prompt)
     fresh = max(0, prompt.prompt_tokens - held)
     missing = max(0, shared - held)
--- a/packages/buckthornwall/src/buckthornwall/pools/prefixes.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/prefixes.py
@@ -1,7 +1,7 @@
-"""Which shared parts of prompts an engine is likely to hold.
+"""Which shared segments of prompts an engine is likely to hold.
 
-An engine that holds a part need not read it again, if it also holds every
-part before it. What is kept here is a guess from what was sent there.
+An engine that holds a segment need not read it again, if it also holds every
+segment before it. What is kept here is a guess from what was sent there.
 """
 
 from collections import OrderedDict
@@ -12,12 +12,12 @@
 __all__ = ["PrefixMemory"]
 
 # Engines keep running requests in the same memory; this share is left to
-# parts that were read for earlier ones.
+# segments that were read for earlier ones.
 MEMORY_SHARE = 0.5
 
 
 class PrefixMemory:
-    """The parts read by one engine, the least recently used first.
+    """The segments read by one engine, the least recently used first.
 
     Parameters
     ----------
@@ -28,7 +28,7 @@
     def __init__(self, capacity_tokens: int) -> None:
         self.memory_tokens = capacity_tokens
         self.held_tokens = 0
-        self._parts: OrderedDict[str, int] = OrderedDict()
+        self._segments: OrderedDict[str, int] = OrderedDict()
 
     def set_memory(self, capacity_tokens: int) -> None:
         """Take the engine's memory, in tokens, from a new configuration."""
@@ -36,30 +36,30 @@
 
     @property
     def capacity_tokens(self) -> float:
-        """Tokens that parts of earlier requests may take."""
+        """Tokens that segments of earlier requests may take."""
         return self.memory_tokens * MEMORY_SHARE
 
     def held(self, prompt: PromptShape) -> int:
         """Return how many leading tokens of a prompt lie there."""
         tokens = 0
-        for part in prompt.parts:
-            if part.id not in self._parts:
+        for segment in prompt.segments:
+            if segment.id not in self._segments:
                 break
-            tokens += part.tokens
+            tokens += segment.tokens
         return tokens
 
     def note(self, prompt: PromptShape) -> None:
         """Record that the prompt is read there now."""
-        self.receive((part.id, part.tokens) for part in prompt.parts)
+        self.receive((segment.id, segment.tokens) for segment in prompt.segments)
 
-    def receive(self, parts: Iterable[tuple[str, int]]) -> None:
-        """Record that parts are read there now, each by id and tokens."""
-        for part, tokens in parts:
-            if part in self._parts:
-                self._parts.move_to_end(part)
+    def receive(self, segments: Iterable[tuple[str, int]]) -> None:
+        """Record that segments are read there now, each by id and tokens."""
+        for segment, tokens in segments:
+            if segment in self._segments:
+                self._segments.move_to_end(segment)
             else:
-                self._parts[part] = tokens
+                self._segments[segment] = tokens
                 self.held_tokens += tokens
-        while self.held_tokens > self.capacity_tokens and self._parts:
-            _, tokens = self._parts.popitem(last=False)
+        while self.held_tokens > self.capacity_tokens and self._segments:
+            _, tokens = self._segments.popitem(last=False)
             self.held_tokens -= tokens
--- a/packages/buckthornwall/src/buckthornwall/pools/table.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/table.py
@@ -124,17 +124,17 @@
             log_event("upstream_gone", upstream=upstream, pool=view.entry.pool)
 
     def note_prompt(self, view: UpstreamView, prompt: PromptShape) -> None:
-        """Record that a prompt goes to an engine, and tell others of its parts."""
+        """Record that a prompt goes to an engine, and tell others of its segments."""
         view.prefixes.note(prompt)
-        shared = [(part.id, part.tokens) for part in prompt.parts[:-1]]
+        shared = [(segment.id, segment.tokens) for segment in prompt.segments[:-1]]
         self.news.note(view.id, shared, self.clock.now())
 
     def receive_held(self, held: HeldParts) -> None:
-        """Take which parts other instances sent to engines."""
-        for upstream, parts in held.items():
+        """Take which segments other instances sent to engines."""
+        for upstream, segments in held.items():
             view = self.views.get(upstream)
             if view is not None:
-                view.prefixes.receive(parts)
+                view.prefixes.receive(segments)
 
     def members(self, pool: PoolId) -> Iterable[UpstreamView]:
         """Return every registered upstream of a pool."""
--- a/packages/buckthornwall/src/buckthornwall/pools/tests/helpers.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/tests/helpers.py
@@ -14,7 +14,7 @@
     Pool,
     PoolId,
     PoolShare,
-    PromptPart,
+    PromptSegment,
     PromptShape,
     RequestRoute,
     Resolution,
@@ -32,8 +32,8 @@
 
 
 def prompt(shared="s", own="o", shared_tokens=4000, own_tokens=1000):
-    parts = (PromptPart(shared, shared_tokens), PromptPart(own, own_tokens))
-    return PromptShape(ModelId("m"), shared_tokens + own_tokens, 100, parts)
+    segments = (PromptSegment(shared, shared_tokens), PromptSegment(own, own_tokens))
+    return PromptShape(ModelId("m"), shared_tokens + own_tokens, 100, segments)
 
 
 def adopt(table, name, slots=4):
--- a/packages/buckthornwall/src/buckthornwall/pools/tests/test_table.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/tests/test_table.py
@@ -4,11 +4,11 @@
 
 from buckthornwall.pools import PoolTable, UpstreamEntry, UpstreamState, Verdict
 from buckthornwall.pools.load import PeerLoad
-from buckthornwall.routing import PoolId, PromptPart, PromptShape
+from buckthornwall.routing import PoolId, PromptSegment, PromptShape
 from buckthornwall.utils import ModelId, UpstreamId, ZoneId
 
 POOL = PoolId("drafts")
-PROMPT = PromptShape(ModelId("m"), 900, 10, (PromptPart("s", 600),))
+PROMPT = PromptShape(ModelId("m"), 900, 10, (PromptSegment("s", 600),))
 
 
 def entry(start: str) -> UpstreamEntry:
--- a/packages/buckthornwall/src/buckthornwall/pools/tests/test_waits.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/tests/test_waits.py
@@ -12,12 +12,12 @@
 )
 from buckthornwall.pools.load import PeerLoad
 from buckthornwall.pools.waits import Waits
-from buckthornwall.routing import PoolId, PromptPart, PromptShape
+from buckthornwall.routing import PoolId, PromptSegment, PromptShape
 from buckthornwall.utils import ModelId, UpstreamId, ZoneId
 
 POOL = PoolId("drafts")
 ZONE = ZoneId("z")
-PROMPT = PromptShape(ModelId("m"), 1000, 100, (PromptPart("s", 900),))
+PROMPT = PromptShape(ModelId("m"), 1000, 100, (PromptSegment("s", 900),))
 
 
 def test_the_oldest_of_each_rank_is_told():
--- a/packages/buckthornwall/src/buckthornwall/routing/__init__.py
+++ b/packages/buckthornwall/src/buckthornwall/routing/__init__.py
@@ -18,7 +18,7 @@
     RequestRoute,
     TeamGrant,
 )
-from .request import PromptPart, PromptShape, RoutedRequest
+from .request import PromptSegment, PromptShape, RoutedRequest
 from .table import Resolution, RoutingTable
 
 __all__ = [
@@ -29,7 +29,7 @@
     "PoolId",
     "PoolShare",
     "Published",
-    "PromptPart",
+    "PromptSegment",
     "PromptShape",
     "RequestRoute",
     "Resolution",
--- a/packages/buckthornwall/src/buckthornwall/routing/request.py
+++ b/packages/buckthornwall/src/buckthornwall/routing/request.py
@@ -4,14 +4,14 @@
 
 from buckthornwall.utils import ModelId
 
-__all__ = ["PromptPart", "PromptShape", "RoutedRequest"]
+__all__ = ["PromptSegment", "PromptShape", "RoutedRequest"]
 
 OUTPUT_WEIGHT = 10  # a generated token costs about ten prompt tokens' time
 
 
 @dataclass(frozen=True, slots=True)
-class PromptPart:
-    """One part of a prompt that others may share; `tokens` is its length."""
+class PromptSegment:
+    """A prompt segment that other prompts may share; `tokens` is its length."""
 
     id: str
     tokens: int
@@ -24,7 +24,7 @@
     model: ModelId
     prompt_tokens: int
     max_output_tokens: int
-    parts: tuple[PromptPart, ...] = ()
+    segments: tuple[PromptSegment, ...] = ()
 
     @property
     def memory_tokens(self) -> int:
@@ -41,10 +41,10 @@
 
     @property
     def shared_key(self) -> str:
-        """Id of the last part that other requests may share, or ''."""
-        if len(self.parts) >= 2:
-            return self.parts[-2].id
-        return self.parts[0].id if self.parts else ""
+        """Id of the last segment that other requests may share, or ''."""
+        if len(self.segments) >= 2:
+            return self.segments[-2].id
+        return self.segments[0].id if self.segments else ""
 
 
 @dataclass(slots=True)
