--- a/packages/buckthornwall-standins/src/buckthornwall_standins/pool_sim/instance.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/pool_sim/instance.py
@@ -124,7 +124,7 @@
             if last_at is None:
                 on_first(now)
             if not request.failed:
-                choice.view.reach.record_answered(now)
+                choice.view.reachability.record_answered(now)
             is_idle = not load.unread_all()
             if last_at is not None and not done:
                 gap_s = now - last_at
--- a/packages/buckthornwall/src/buckthornwall/forwarding/account.py
+++ b/packages/buckthornwall/src/buckthornwall/forwarding/account.py
@@ -198,5 +198,5 @@
 
 def _quiet_ms(choice: Choice, now: float) -> int | str:
     """Return since when this instance has had nothing from an upstream, or ''."""
-    answered_at = choice.view.reach.answered_at
+    answered_at = choice.view.reachability.answered_at
     return "" if math.isinf(answered_at) else round((now - answered_at) * 1000)
--- a/packages/buckthornwall/src/buckthornwall/forwarding/attempt.py
+++ b/packages/buckthornwall/src/buckthornwall/forwarding/attempt.py
@@ -159,7 +159,7 @@
         if reply.misdirected:
             return
         now = self.clock.now()
-        self.choice.view.reach.record_answered(now)
+        self.choice.view.reachability.record_answered(now)
         if reply.load is not None:
             self.choice.view.load.take_report(reply.load, now)
         if reply.rate_limit is not None and (reply.names_limit or reply.attested):
@@ -219,7 +219,7 @@
         watch = _StepWatch(view, self.model, self._tokens_per_event(), self.tight)
         while data := await self._next_data(connection):
             now = self.clock.now()
-            view.reach.record_answered(now)
+            view.reachability.record_answered(now)
             events = await self.delivery.events(reply, data)
             if events:
                 unread.clear(is_served=True)
--- a/packages/buckthornwall/src/buckthornwall/pools/__init__.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/__init__.py
@@ -8,7 +8,7 @@
 `prefix_news` what instances tell each other of that
 `evacuation`  which availability zones get no new requests
 `health`      which upstreams fail requests, whatever their health check says
-`reach`       which upstreams cannot be reached, as instances tell each other
+`reachability` which upstreams cannot be reached, as instances tell each other
 `rate_limit`  how many requests a second an upstream takes from all instances
 `rate_limits` those of all upstreams, and what an instance may send
 `limit_share` which instances send to one, and how much each
@@ -40,7 +40,7 @@
 from .prefix_news import HeldParts, PrefixNews, merge_held
 from .quiet import is_tight
 from .rate_limit import LimitReport, LimitReports, merge_limit_reports
-from .reach import Unreachable, add_unreachable
+from .reachability import Unreachable, add_unreachable
 from .refusal import Overload, RefusalReason, find_overload, record_decision
 from .table import PoolTable
 from .traits import RequestTraits
--- a/packages/buckthornwall/src/buckthornwall/pools/table.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/table.py
@@ -23,7 +23,7 @@
 from .prefix_news import HeldParts, PrefixNews
 from .quiet import QuietEngines
 from .rate_limits import RateLimits
-from .reach import Unreachable
+from .reachability import Unreachable
 from .view import UpstreamView
 
 __all__ = ["PoolTable"]
@@ -247,7 +247,7 @@
         sound = [
             view
             for view in ready
-            if view.health.may_try(now) and not view.reach.is_lost(now)
+            if view.health.may_try(now) and not view.reachability.is_unreachable(now)
         ]
         return sound or ready
 
@@ -297,7 +297,11 @@
     def unreachable(self) -> list[UpstreamId]:
         """Return whom this instance could lately not reach."""
         now = self.clock.now()
-        return [view.id for view in self.views.values() if view.reach.is_reported(now)]
+        return [
+            view.id
+            for view in self.views.values()
+            if view.reachability.should_report(now)
+        ]
 
     def receive_unreachable(self, unreachable: Unreachable) -> None:
         """Take how many instances could lately not reach which upstream."""
@@ -305,13 +309,13 @@
         for upstream, reporters in unreachable.items():
             view = self.views.get(upstream)
             if view is not None:
-                view.reach.record_reports(reporters, now)
+                view.reachability.record_reports(reporters, now)
 
     def note_end(self, view: UpstreamView, verdict: Verdict) -> None:
         """Take how a request at an upstream ended."""
         now = self.clock.now()
         if verdict is Verdict.UNREACHABLE:
-            view.reach.record_failed(now)
+            view.reachability.record_failed(now)
         changed = view.health.note(verdict, self._share_of_rest(view), now)
         if changed:
             log_event(
--- a/packages/buckthornwall/src/buckthornwall/pools/tests/test_reach.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/tests/test_reachability.py
@@ -3,12 +3,12 @@
 from dataclasses import replace
 
 from buckthornwall.pools import RequestTraits, Verdict, add_unreachable
-from buckthornwall.pools.reach import (
+from buckthornwall.pools.reachability import (
+    ANSWER_TTL_S,
+    FAILURE_TTL_S,
     MIN_REPORTERS,
-    OWN_S,
     REPORT_TTL_S,
-    REPORTED_S,
-    Reach,
+    Reachability,
 )
 from buckthornwall.pools.refusal import find_overload
 from buckthornwall.routing import EngineTraits, Pool, Resolution
@@ -20,37 +20,37 @@
 
 
 def test_what_was_found_is_told_for_a_while_and_not_after_an_answer():
-    reach = Reach()
-    assert not reach.is_reported(0.0)
-    reach.record_failed(1.0)
-    assert reach.is_reported(1.0 + 0.9 * REPORTED_S)
-    assert not reach.is_reported(1.1 + REPORTED_S)
-    reach.record_answered(1.2)
-    assert not reach.is_reported(1.3)
+    reachability = Reachability()
+    assert not reachability.should_report(0.0)
+    reachability.record_failed(1.0)
+    assert reachability.should_report(1.0 + 0.9 * FAILURE_TTL_S)
+    assert not reachability.should_report(1.1 + FAILURE_TTL_S)
+    reachability.record_answered(1.2)
+    assert not reachability.should_report(1.3)
 
 
 def test_one_or_two_that_are_cut_off_are_not_believed():
-    reach = Reach()
-    reach.record_reports(MIN_REPORTERS - 1, 1.0)
-    assert not reach.is_lost(1.0)
-    reach.record_reports(MIN_REPORTERS, 1.0)
-    assert reach.is_lost(1.0)
+    reachability = Reachability()
+    reachability.record_reports(MIN_REPORTERS - 1, 1.0)
+    assert not reachability.is_unreachable(1.0)
+    reachability.record_reports(MIN_REPORTERS, 1.0)
+    assert reachability.is_unreachable(1.0)
 
 
 def test_word_grows_old():
-    reach = Reach()
-    reach.record_reports(9, 1.0)
-    assert reach.is_lost(1.0 + 0.9 * REPORT_TTL_S)
-    assert not reach.is_lost(1.1 + REPORT_TTL_S)
+    reachability = Reachability()
+    reachability.record_reports(9, 1.0)
+    assert reachability.is_unreachable(1.0 + 0.9 * REPORT_TTL_S)
+    assert not reachability.is_unreachable(1.1 + REPORT_TTL_S)
 
 
 def test_who_has_had_an_answer_goes_by_that():
-    reach = Reach()
-    reach.record_answered(1.0)
-    reach.record_reports(9, 1.1)
-    assert not reach.is_lost(1.1)
-    reach.record_reports(9, 1.1 + OWN_S)
-    assert reach.is_lost(1.1 + OWN_S)
+    reachability = Reachability()
+    reachability.record_answered(1.0)
+    reachability.record_reports(9, 1.1)
+    assert not reachability.is_unreachable(1.1)
+    reachability.record_reports(9, 1.1 + ANSWER_TTL_S)
+    assert reachability.is_unreachable(1.1 + ANSWER_TTL_S)
 
 
 def test_an_engine_that_others_miss_is_not_tried_while_there_are_more(table, clock):
@@ -68,7 +68,7 @@
     assert table.unreachable() == []
     table.note_end(view, Verdict.UNREACHABLE)
     assert table.unreachable() == [view.id]
-    clock.time += 2 * REPORTED_S
+    clock.time += 2 * FAILURE_TTL_S
     assert table.unreachable() == []
 
 
--- a/packages/buckthornwall/src/buckthornwall/pools/view.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/view.py
@@ -7,7 +7,7 @@
 from .load import Load
 from .prefixes import PrefixMemory
 from .rate_limit import RateLimit
-from .reach import Reach
+from .reachability import Reachability
 
 __all__ = ["UpstreamView"]
 
@@ -17,8 +17,8 @@
 class UpstreamView:
     """One upstream: its registration, load, health and likely memory.
 
-    `reach` tells whether it can be reached, by own tries and by what others tell, and
-    `rate_limit` how many requests a second it takes, and until when it is cold.
+    `reachability` combines this instance's attempts with the reports of its peers.
+    `rate_limit` holds the requests per second it accepts and until when it is cold.
     """
 
     def __init__(self, entry: UpstreamEntry) -> None:
@@ -26,7 +26,7 @@
         self.load = Load()
         self.health = Health()
         self.prefixes = PrefixMemory(DEFAULT_MEMORY_TOKENS)
-        self.reach = Reach()
+        self.reachability = Reachability()
         self.rate_limit = RateLimit()
 
     def cold_s(self, now: float) -> float:
