--- a/packages/buckthornwall-standins/src/buckthornwall_standins/peers_sim/peer.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/peers_sim/peer.py
@@ -147,7 +147,7 @@
             zone=self.zone,
             state=self.state,
             number=self.discovery.table.number,
-            mark=self.discovery.mark,
+            change_revision=self.discovery.change_revision,
             read_age_ms=self.news.read_age_ms(),
             unbroken_ms=int(self.discovery.unbroken_s() * 1000),
             loads=self.simulation.make_loads(self.address),
--- a/packages/buckthornwall/src/buckthornwall/discovery/agent.py
+++ b/packages/buckthornwall/src/buckthornwall/discovery/agent.py
@@ -100,7 +100,7 @@
         self.pools = pools
         self.clock = clock
         self.revision = 0
-        self.mark = 0
+        self.change_revision = 0
         self.raw = b""
         self.read_once = False
         self.answered_at = clock.now()
@@ -205,7 +205,7 @@
             self._remove(gone)
         self._adopt_zones(news)
         self.revision = max(self.revision, news.revision)
-        self.mark = max(self.mark, news.mark)
+        self.change_revision = max(self.change_revision, news.change_revision)
         self.read_once = True
         self.pools.set_contracts(self.table.pools.values(), self.table.routes)
         self.on_change()
--- a/packages/buckthornwall/src/buckthornwall/discovery/news.py
+++ b/packages/buckthornwall/src/buckthornwall/discovery/news.py
@@ -18,7 +18,7 @@
     """What changed up to a revision.
 
     `whole` tells that everything there is stands here, so that what does not
-    is gone. A watch from `revision` brings what changes later; `mark` is the
+    is gone. A watch from `revision` brings what changes later; `change_revision` is the
     revision of the newest change among these, which is lower where others wrote
     meanwhile. `published` is the operator's configuration as it was written.
     `evacuated` and `reopened` give the revisions of records on zones, and
@@ -27,7 +27,7 @@
 
     revision: int
     whole: bool
-    mark: int = 0
+    change_revision: int = 0
     published: bytes | None = None
     entries: dict[UpstreamId, UpstreamEntry] = field(default_factory=dict)
     removed: set[UpstreamId] = field(default_factory=set)
--- a/packages/buckthornwall/src/buckthornwall/discovery/tests/test_agent.py
+++ b/packages/buckthornwall/src/buckthornwall/discovery/tests/test_agent.py
@@ -156,7 +156,7 @@
 def test_only_changes_move_the_mark(agent):
     agent.adopt(news(5, "a", whole=True))
     agent.adopt(News(revision=9, whole=False))
-    assert (agent.revision, agent.mark) == (9, 5)
+    assert (agent.revision, agent.change_revision) == (9, 5)
 
 
 async def test_who_reads_no_more_still_takes_the_missing_to_be_gone(
--- a/packages/buckthornwall/src/buckthornwall/peers/greetings.py
+++ b/packages/buckthornwall/src/buckthornwall/peers/greetings.py
@@ -118,7 +118,7 @@
         members={},
         speakers=digest.speakers,
         number=0,
-        mark=0,
+        change_revision=0,
         informed="",
         read_age_ms=NEVER_MS,
         unbroken_ms=0,
--- a/packages/buckthornwall/src/buckthornwall/peers/messages.py
+++ b/packages/buckthornwall/src/buckthornwall/peers/messages.py
@@ -71,7 +71,7 @@
     """What an instance tells the speaker of its zone.
 
     `weight` is how much it can carry for others. `number` is that of the
-    configuration in force, `mark` the revision of the newest change, and
+    configuration in force, `change_revision` the revision of the newest change, and
     `read_age_ms` how long ago the store last answered here, `unbroken_ms` for how
     long it has done so without an outage. `loads` names upstreams with work from
     this instance, `held` the shared parts of prompts that it has lately sent to
@@ -88,7 +88,7 @@
     zone: ZoneId
     state: PeerState
     number: int
-    mark: int
+    change_revision: int
     read_age_ms: int
     unbroken_ms: int
     loads: dict[UpstreamId, Work]
@@ -106,7 +106,7 @@
     work: over the fleet if `is_fleet`, else over the zone; `held` are the shared parts
     of prompts that they have lately sent to each upstream. `members` gives the
     weight of each, `speakers` the speaker's address of each zone. `informed` is
-    the address of the instance with the highest `number` and `mark`, and
+    the address of the instance with the highest `number` and `change_revision`, and
     `read_age_ms` how long ago the store last answered any of them, and
     `unbroken_ms` the longest time for which it has answered one of them without an
     outage. `age_ms` is 0 unless another instance passes the digest on. Heartbeats
@@ -124,7 +124,7 @@
     members: dict[str, float]
     speakers: dict[ZoneId, str]
     number: int
-    mark: int
+    change_revision: int
     informed: str
     read_age_ms: int
     unbroken_ms: int
@@ -164,7 +164,7 @@
     zone: ZoneId
     is_fleet: bool
     number: int
-    mark: int
+    change_revision: int
     informed: str
     read_age_ms: int
     unbroken_ms: int
@@ -191,13 +191,13 @@
 class PeerView(msgspec.Struct, array_like=True):
     """What is in force at an instance; `published` is b'' if not asked for.
 
-    A watch from `revision` brings what changed after it; `mark` is the revision
-    of the newest change. `evacuated` gives the evacuated zones, and the revisions of
-    their records.
+    A watch from `revision` returns the changes after it; `change_revision` is the
+    revision of the newest change. `evacuated` gives the evacuated zones, and the
+    revisions of their records.
     """
 
     revision: int
-    mark: int
+    change_revision: int
     published: bytes
     entries: list[UpstreamEntry]
     evacuated: dict[ZoneId, int] = {}
--- a/packages/buckthornwall/src/buckthornwall/peers/newest.py
+++ b/packages/buckthornwall/src/buckthornwall/peers/newest.py
@@ -10,9 +10,9 @@
 
 def take_newer(known: Digest | Heartbeat, told: Digest | Heartbeat) -> None:
     """Put what is newest, and who has it, into what is known."""
-    if (told.number, told.mark) > (known.number, known.mark):
+    if (told.number, told.change_revision) > (known.number, known.change_revision):
         known.number = told.number
-        known.mark = told.mark
+        known.change_revision = told.change_revision
         known.informed = told.informed
 
 
--- a/packages/buckthornwall/src/buckthornwall/peers/table.py
+++ b/packages/buckthornwall/src/buckthornwall/peers/table.py
@@ -263,7 +263,7 @@
             members={part.address: part.weight for part in parts},
             speakers={self.zone: self.address} | self.other_speakers(),
             number=newest.number,
-            mark=newest.mark,
+            change_revision=newest.change_revision,
             informed=newest.informed,
             read_age_ms=newest.read_age_ms,
             unbroken_ms=newest.unbroken_ms,
@@ -309,14 +309,14 @@
         """
         parts, far = self._parts(own), self._far(is_fleet)
         heard_of = [*self.members.values(), *far]
-        best = max(parts, key=lambda part: (part.number, part.mark))
+        best = max(parts, key=lambda part: (part.number, part.change_revision))
         heartbeat = Heartbeat(
             address=self.address,
             weight=self.weight,
             zone=self.zone,
             is_fleet=is_fleet,
             number=best.number,
-            mark=best.mark,
+            change_revision=best.change_revision,
             informed=best.address,
             read_age_ms=own.read_age_ms,
             unbroken_ms=max(part.unbroken_ms for part in parts),
--- a/packages/buckthornwall/src/buckthornwall/peers/tests/test_peers.py
+++ b/packages/buckthornwall/src/buckthornwall/peers/tests/test_peers.py
@@ -27,7 +27,7 @@
     zone="z",
     state=PeerState.READY,
     number=1,
-    mark=1,
+    change_revision=1,
     unbroken_ms=0,
 ):
     return Beacon(
@@ -38,7 +38,7 @@
         ZoneId(zone),
         state,
         number,
-        mark,
+        change_revision,
         300,
         unbroken_ms,
         loads or {},
@@ -167,8 +167,10 @@
 
 def test_who_knows_most_is_named():
     first = table(FIRST)
-    first.receive_beacon(beacon(SECOND, number=3, mark=9), 0.0)
-    digest = first.make_digest(beacon(FIRST, number=2, mark=20), True, now=0.0)
+    first.receive_beacon(beacon(SECOND, number=3, change_revision=9), 0.0)
+    digest = first.make_digest(
+        beacon(FIRST, number=2, change_revision=20), True, now=0.0
+    )
     assert (digest.informed, digest.number) == (SECOND, 3)
 
 
@@ -274,11 +276,11 @@
     third.receive_digest(first.make_digest(beacon(FIRST), True, now=0.0), 0.0)
     third.receive_heartbeat(second.make_heartbeat(beacon(SECOND), True, 0.6), 0.6)
     assert third.staleness_s(0.7) == pytest.approx(0.7)
-    newer = first.make_heartbeat(beacon(FIRST, number=4, mark=9), True, 0.7)
+    newer = first.make_heartbeat(beacon(FIRST, number=4, change_revision=9), True, 0.7)
     third.receive_heartbeat(newer, 0.7)
     told = third.whole(beacon(THIRD), 0.8)
     assert third.staleness_s(0.8) == pytest.approx(0.1)
-    assert (told.number, told.mark, told.informed) == (4, 9, FIRST)
+    assert (told.number, told.change_revision, told.informed) == (4, 9, FIRST)
 
 
 def test_what_was_heard_of_a_reading_grows_older():
--- a/packages/buckthornwall/src/buckthornwall/platform/store.py
+++ b/packages/buckthornwall/src/buckthornwall/platform/store.py
@@ -164,7 +164,7 @@
 
 def _add(news: News, change: StoredValue) -> None:
     """Put one value into the product's words."""
-    news.mark = max(news.mark, change.revision)
+    news.change_revision = max(news.change_revision, change.revision)
     if change.key == CONFIG_KEY:
         news.published = change.value or news.published
     elif change.key.startswith(EVACUATIONS):
--- a/packages/buckthornwall/src/buckthornwall/platform/tests/test_evacuations.py
+++ b/packages/buckthornwall/src/buckthornwall/platform/tests/test_evacuations.py
@@ -17,7 +17,7 @@
 def test_a_record_names_its_zone_in_its_key():
     found = news(("north", b"{}"), ("south", b'{"since": 3}'))
     assert found.evacuated == {"north": 1, "south": 2}
-    assert found.mark == 2
+    assert found.change_revision == 2
 
 
 def test_a_removal_later_in_the_same_answer_holds():
--- a/packages/buckthornwall/src/buckthornwall/platform/tests/test_registrations.py
+++ b/packages/buckthornwall/src/buckthornwall/platform/tests/test_registrations.py
@@ -64,7 +64,7 @@
     news = news_of(changes(written(), raw, written(state="draining")), whole=True)
     assert list(news.entries) == ["u0", "u2"]
     assert news.entries["u2"].state is UpstreamState.LEAVING
-    assert news.mark == 3
+    assert news.change_revision == 3
     refused = [line for line in lines if "event=registration_refused" in line]
     assert len(refused) == 1
     assert "upstream=u1" in refused[0]
--- a/packages/buckthornwall/src/buckthornwall/router/core.py
+++ b/packages/buckthornwall/src/buckthornwall/router/core.py
@@ -209,7 +209,7 @@
             self.zone,
             self.state,
             self.table.number,
-            self.discovery.mark,
+            self.discovery.change_revision,
             self.news.read_age_ms(),
             int(self.discovery.unbroken_s() * 1000),
             loads,
--- a/packages/buckthornwall/src/buckthornwall/router/news.py
+++ b/packages/buckthornwall/src/buckthornwall/router/news.py
@@ -95,8 +95,8 @@
 
     def should_ask(self, fleet: Digest) -> bool:
         """Tell whether a peer is to be asked for what is newer there."""
-        own = (self.discovery.table.number, self.discovery.mark)
-        if (fleet.number, fleet.mark) <= own:
+        own = (self.discovery.table.number, self.discovery.change_revision)
+        if (fleet.number, fleet.change_revision) <= own:
             self._behind_since = None
             self._view_failed = False
             return False
@@ -119,12 +119,12 @@
             self._view_failed = True
             log_event("view_not_had", "WARNING", peer=peer, detail=error)
             return
-        log_event("view_taken", peer=peer, mark=view.mark)
+        log_event("view_taken", peer=peer, mark=view.change_revision)
         self.discovery.adopt(
             News(
                 revision=view.revision,
                 whole=True,
-                mark=view.mark,
+                change_revision=view.change_revision,
                 published=view.published or None,
                 entries={entry.id: entry for entry in view.entries},
                 evacuated=view.evacuated,
@@ -141,7 +141,7 @@
         ]
         return PeerView(
             discovery.revision,
-            discovery.mark,
+            discovery.change_revision,
             discovery.raw,
             entries,
             discovery.pools.evacuations.zones(),
--- a/packages/buckthornwall/src/buckthornwall/router/operators.py
+++ b/packages/buckthornwall/src/buckthornwall/router/operators.py
@@ -104,7 +104,7 @@
             "staleness_s": round(router.peers.staleness_s(now), 3),
             "instances": fleet.count,
             "number": fleet.number,
-            "mark": fleet.mark,
+            "mark": fleet.change_revision,
             "speakers": dict(fleet.speakers),
         },
         "upstreams": {
--- a/packages/buckthornwall/src/buckthornwall/router/tests/test_news.py
+++ b/packages/buckthornwall/src/buckthornwall/router/tests/test_news.py
@@ -42,7 +42,7 @@
     discovery = DiscoveryAgent(
         DiscoverySettings(), None, decode, RoutingTable(), PoolTable(clock), clock
     )
-    discovery.adopt(News(revision=1, whole=True, mark=1, published=b"1"))
+    discovery.adopt(News(revision=1, whole=True, change_revision=1, published=b"1"))
     peers = PeerTable(OWN, 1.0, ZONE, 0.8, 0.1)
     exchange = NewsExchange(discovery, peers, lambda: beacon(OWN), ViewClient(), clock)
     hear(exchange, clock)
@@ -86,7 +86,9 @@
     assert not exchange.should_ask(fleet)
     clock.time += 1.0
     assert exchange.should_ask(fleet)
-    exchange.discovery.adopt(News(revision=2, whole=False, mark=2, published=b"2"))
+    exchange.discovery.adopt(
+        News(revision=2, whole=False, change_revision=2, published=b"2")
+    )
     assert not exchange.should_ask(fleet)
 
 
@@ -98,7 +100,9 @@
     assert not exchange.may_read()
     await exchange.take_view("127.0.0.1:1")
     assert exchange.may_read()
-    exchange.discovery.adopt(News(revision=2, whole=False, mark=2, published=b"2"))
+    exchange.discovery.adopt(
+        News(revision=2, whole=False, change_revision=2, published=b"2")
+    )
     assert not exchange.should_ask(fleet)
     assert not exchange.may_read()
 
