--- a/packages/buckthornwall-standins/src/buckthornwall_standins/crash_soak.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/crash_soak.py
@@ -13,7 +13,7 @@
 
 import trio
 
-from .soak_run import PATIENCE_S, RunSettings, SoakRun, play_seeds, soak_parser
+from .soak_run import CLIENT_TIMEOUT_S, RunSettings, SoakRun, play_seeds, soak_parser
 from .users_platform import Upstream
 from .users_platform.crashing import CRASHING, CrashingEngine
 from .users_platform.deployment import DRAFTS, HOST, KEY, ORDERS, route
@@ -181,7 +181,7 @@
         number = self.draw.randint(1, self.count)
         self.sendings[request] = Sending(body, number, trio.current_time())
         prompt = None if path == "look" else ("900,10", f"aa:600,{request[1:]}:300")
-        headers = call_headers(request, HOST, KEY, PATIENCE_S, prompt, body)
+        headers = call_headers(request, HOST, KEY, CLIENT_TIMEOUT_S, prompt, body)
         kind = "crashing" if body in self.bodies else path
         self.statuses[kind, await self.exchange(number, path, headers, body)] += 1
 
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/pool_sim/request.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/pool_sim/request.py
@@ -30,7 +30,7 @@
     how often a caller comes back after a refusal. Prompts share a part with the others
     of their subject, and `root_tokens` before it with all. `spread` is that of the
     logarithm of their lengths; with none, lengths are spread evenly about the mean. A
-    caller leaves that has had no event for `patience_s`.
+    caller leaves that has had no event for `client_timeout_s`.
     """
 
     name: str
@@ -47,7 +47,7 @@
     retries: int = 0
     bursts: tuple[tuple[float, float, float], ...] = ()
     spread: float = 0.0
-    patience_s: float = math.inf
+    client_timeout_s: float = math.inf
 
     def scaled(self, rate: float, subjects: float) -> "Traffic":
         """Return so many times the requests, about so many times the subjects."""
@@ -119,7 +119,7 @@
         deadline = self.at + self.traffic.deadline_s
         if self.first_at is not None:
             return deadline
-        return min(deadline, self.asked_at + self.traffic.patience_s)
+        return min(deadline, self.asked_at + self.traffic.client_timeout_s)
 
     @property
     def in_time(self) -> bool:
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/pool_sim/short_answers.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/pool_sim/short_answers.py
@@ -41,7 +41,7 @@
     subjects=2875,
     retries=1,
     bursts=((0.5, 9.5, 2.6), (16.5, 18.5, 2.9)),
-    patience_s=4.94,
+    client_timeout_s=4.94,
     spread=0.8,
 )
 QUESTIONS = Traffic(
@@ -58,7 +58,7 @@
     subjects=850,
     retries=1,
     bursts=((13.8, 18.5, 2.0),),
-    patience_s=2.0,
+    client_timeout_s=2.0,
     spread=0.8,
 )
 LISTS = Traffic(
@@ -75,7 +75,7 @@
     subjects=1176,
     retries=1,
     bursts=((11.0, 16.0, 2.76),),
-    patience_s=2.0,
+    client_timeout_s=2.0,
     spread=0.8,
 )
 SECONDS = 20.0
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/soak_callers.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/soak_callers.py
@@ -15,7 +15,7 @@
 __all__ = ["SoakCallers", "Verdict"]
 
 PROMISES = frozenset({408, 421, 429, 503})
-PATIENCE_S = 3.0
+CLIENT_TIMEOUT_S = 3.0
 WORDS = b"".join(b"id: %d\ndata: word-%d\n\n" % (n, n) for n in range(1, EVENTS + 1))
 
 
@@ -55,7 +55,7 @@
         is_stream = path in ("/draft/x", "/once/x")
         self.verdict.calls += 1
         try:
-            with trio.fail_after(PATIENCE_S + 1.0):
+            with trio.fail_after(CLIENT_TIMEOUT_S + 1.0):
                 status, headers, body = await self._exchange(
                     number, path, request, is_stream
                 )
@@ -77,7 +77,7 @@
         self, number: int, path: str, request: str, is_stream: bool
     ) -> tuple[int, dict[bytes, bytes], bytes]:
         prompt = ("900,10", "aa:600,bb:300") if is_stream else None
-        headers = call_headers(request, HOST, KEY, PATIENCE_S, prompt)
+        headers = call_headers(request, HOST, KEY, CLIENT_TIMEOUT_S, prompt)
         address = f"127.0.8.{number}:{self.ports}"
         connection = await ClientConnection.connect(address, 1.0)
         try:
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/soak_run.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/soak_run.py
@@ -17,11 +17,11 @@
 from .users_platform.deployment import HOST, KEY
 from .users_platform.wire import call_headers
 
-__all__ = ["PATIENCE_S", "RunSettings", "SoakRun", "play_seeds", "soak_parser"]
+__all__ = ["CLIENT_TIMEOUT_S", "RunSettings", "SoakRun", "play_seeds", "soak_parser"]
 
 SETTLE_S = 3.0
 # How long callers wait.
-PATIENCE_S = 3.0
+CLIENT_TIMEOUT_S = 3.0
 # Each instance in turn is killed, and started a moment later.
 RESTART_INTERVAL_S = 1.5
 RESTART_PAUSE_S = 0.5
@@ -153,7 +153,7 @@
         self.asked[request] = Asked(path, number)
         subject = f"{self.draw.randrange(SUBJECTS):x}a"
         prompt = ("900,10", f"{subject}:600,{request[1:]}:300") if has_prompt else None
-        headers = call_headers(request, HOST, KEY, PATIENCE_S, prompt)
+        headers = call_headers(request, HOST, KEY, CLIENT_TIMEOUT_S, prompt)
         self.statuses[path, await self.exchange(number, path, headers)] += 1
 
     async def exchange(
@@ -165,7 +165,7 @@
     ) -> str:
         """Ask an instance once; return the status, or how the exchange failed."""
         connection = None
-        with trio.move_on_after(PATIENCE_S):
+        with trio.move_on_after(CLIENT_TIMEOUT_S):
             try:
                 address = f"127.0.8.{number}:{self.ports}"
                 connection = await ClientConnection.connect(address, 1.0)
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/tests/test_tiers.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/tests/test_tiers.py
@@ -36,7 +36,7 @@
     retries=1,
     bursts=((0.5, 9.5, 2.9),),
     spread=1.0,
-    patience_s=8.0,
+    client_timeout_s=8.0,
 )
 REPLIES = Traffic(
     name="reply",
@@ -53,7 +53,7 @@
     retries=1,
     bursts=((4.0, 8.0, 1.6),),
     spread=1.0,
-    patience_s=3.2,
+    client_timeout_s=3.2,
 )
 QUESTIONS = Traffic(
     name="question",
@@ -69,7 +69,7 @@
     subjects=894,
     retries=1,
     spread=0.9,
-    patience_s=2.0,
+    client_timeout_s=2.0,
 )
 WORD_AGE_S = 0.2
 SECONDS = 11.0
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/tier_soak.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/tier_soak.py
@@ -23,7 +23,7 @@
 ENGINE_TOKENS = 600_000
 # Callers leave without an event after the longest of these: seconds, and times their
 # target and their longest pause.
-LEAST_PATIENCE_S, PATIENCE_TARGETS, PATIENCE_PAUSES = 2.0, 4, 8
+MIN_CLIENT_TIMEOUT_S, CLIENT_TIMEOUT_TARGETS, CLIENT_TIMEOUT_PAUSES = 2.0, 4, 8
 
 
 @dataclass(frozen=True)
@@ -43,12 +43,12 @@
     burst: float = 1.0
 
     @property
-    def patience_s(self) -> float:
+    def client_timeout_s(self) -> float:
         """How long a caller waits for the first event."""
         longest = max(
-            LEAST_PATIENCE_S,
-            PATIENCE_TARGETS * self.target_s,
-            PATIENCE_PAUSES * self.max_pause_s,
+            MIN_CLIENT_TIMEOUT_S,
+            CLIENT_TIMEOUT_TARGETS * self.target_s,
+            CLIENT_TIMEOUT_PAUSES * self.max_pause_s,
         )
         return min(longest, self.deadline_s)
 
@@ -142,7 +142,7 @@
         """Return when the first event came, or None, and how the attempt ended."""
         begun_at, connection = None, None
         path = f"/{kind.name}/x".encode()
-        with trio.move_on_after(kind.patience_s) as scope:
+        with trio.move_on_after(kind.client_timeout_s) as scope:
             try:
                 address = f"127.0.8.{instance}:{self.ports}"
                 connection = await ClientConnection.connect(address, 1.0)
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/users_platform/wire.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/users_platform/wire.py
@@ -11,7 +11,7 @@
     request: str,
     host: str,
     key: str,
-    patience_s: float,
+    client_timeout_s: float,
     prompt: tuple[str, str] | None,
     body: bytes = b"",
 ) -> Headers:
@@ -21,7 +21,7 @@
     ----------
     request, host, key
         Its id, where it goes, and whose it is.
-    patience_s
+    client_timeout_s
         How long its caller waits, in seconds.
     prompt
         Token counts and segments of a prompt, as they are sent; None without one.
@@ -31,7 +31,7 @@
     headers = [
         (b"Host", host.encode()),
         (PREFIX + b"Attempt-Id", request.encode()),
-        (PREFIX + b"Deadline-Ms", b"%d" % (patience_s * 1000)),
+        (PREFIX + b"Deadline-Ms", b"%d" % (client_timeout_s * 1000)),
         (PREFIX + b"Key", key.encode()),
         (b"Content-Length", b"%d" % len(body)),
     ]
--- a/packages/buckthornwall/src/buckthornwall/forwarding/forwarder.py
+++ b/packages/buckthornwall/src/buckthornwall/forwarding/forwarder.py
@@ -152,14 +152,14 @@
             return
         route = resolution.route
         self.budgets.earn(resolution.pool.id)
-        patience_s = route.timeout_s
-        if request.patience_s is not None:
-            patience_s = min(patience_s, request.patience_s)
+        timeout_s = route.timeout_s
+        if request.client_timeout_s is not None:
+            timeout_s = min(timeout_s, request.client_timeout_s)
         job = Job(
             request,
             resolution,
             Delivery(answer, self.clock, request.resume_after),
-            request.received_at + patience_s,
+            request.received_at + timeout_s,
             RequestTraits.of(request, resolution, self.pools),
             fingerprint_of(request, resolution.team),
         )
--- a/packages/buckthornwall/src/buckthornwall/forwarding/tests/conftest.py
+++ b/packages/buckthornwall/src/buckthornwall/forwarding/tests/conftest.py
@@ -35,7 +35,7 @@
         max_runs=3,
         timeout_s=2.0,
         reserve=50.0,
-        patience_s=None,
+        client_timeout_s=None,
         limit_per_s=None,
         limited="u0",
         own_per_s=0.0,
@@ -94,7 +94,7 @@
         forward.metrics, forward.pools = subject.metrics, pools
         subject.budgets.instances = 1.0
         request = RoutedRequest("r", b"POST", b"/", "h", "/", [], b"x", clock.now())
-        request.patience_s = patience_s
+        request.client_timeout_s = client_timeout_s
         answer = Recorder()
         with trio.fail_after(5):
             await subject.forward(request, answer)
--- a/packages/buckthornwall/src/buckthornwall/forwarding/tests/test_forwarder.py
+++ b/packages/buckthornwall/src/buckthornwall/forwarding/tests/test_forwarder.py
@@ -107,7 +107,7 @@
 
 async def test_the_time_left_shrinks_from_attempt_to_attempt(forward):
     slow = [0.15, None]
-    await forward(slow, [whole()], patience_s=1.0)
+    await forward(slow, [whole()], client_timeout_s=1.0)
     first, second = (
         int(forward.requests[address][0].split(b"x-left: ")[1].split(b"\r\n")[0])
         for address in forward.addresses
--- a/packages/buckthornwall/src/buckthornwall/platform/codec.py
+++ b/packages/buckthornwall/src/buckthornwall/platform/codec.py
@@ -44,7 +44,7 @@
         body=incoming.body,
         received_at=incoming.received_at,
         key=found.get(names.KEY, b"").decode("latin-1"),
-        patience_s=_milliseconds(found.get(names.DEADLINE)),
+        client_timeout_s=_milliseconds(found.get(names.DEADLINE)),
         prompt=_prompt(found),
         resume_after=found.get(names.LAST_EVENT_ID, b"").decode("latin-1"),
     )
--- a/packages/buckthornwall/src/buckthornwall/platform/tests/test_wire.py
+++ b/packages/buckthornwall/src/buckthornwall/platform/tests/test_wire.py
@@ -40,7 +40,11 @@
         )
     )
     assert (request.host, request.path) == ("h.example", "/a/b")
-    assert (request.patience_s, request.key, request.resume_after) == (1.5, "k", "7")
+    assert (request.client_timeout_s, request.key, request.resume_after) == (
+        1.5,
+        "k",
+        "7",
+    )
     assert (request.prompt.prompt_tokens, request.prompt.max_output_tokens) == (
         1460,
         80,
--- a/packages/buckthornwall/src/buckthornwall/quarantine/tests/test_fingerprint.py
+++ b/packages/buckthornwall/src/buckthornwall/quarantine/tests/test_fingerprint.py
@@ -13,7 +13,7 @@
 
 
 def test_a_request_sent_again_under_another_id_is_the_same():
-    again = replace(REQUEST, id="r2", received_at=5.0, patience_s=1.0)
+    again = replace(REQUEST, id="r2", received_at=5.0, client_timeout_s=1.0)
     assert fingerprint_of(again, TEAM) == fingerprint_of(REQUEST, TEAM)
 
 
--- a/packages/buckthornwall/src/buckthornwall/routing/request.py
+++ b/packages/buckthornwall/src/buckthornwall/routing/request.py
@@ -51,7 +51,7 @@
 class RoutedRequest:
     """A whole request, read from its caller.
 
-    `headers` are those that pass to an upstream unchanged. `patience_s` is
+    `headers` are those that pass to an upstream unchanged. `client_timeout_s` is
     how long the caller waits from `received_at` on, or None if it is silent.
     """
 
@@ -64,6 +64,6 @@
     body: bytes
     received_at: float
     key: str = ""
-    patience_s: float | None = None
+    client_timeout_s: float | None = None
     prompt: PromptShape | None = None
     resume_after: str = ""
