--- a/packages/buckthornwall/src/buckthornwall/platform/store.py
+++ b/packages/buckthornwall/src/buckthornwall/platform/store.py
@@ -236,5 +236,5 @@
         state=UpstreamState.READY if is_ready else UpstreamState.LEAVING,
         cold_s=found.cold_remaining_ms / MS_PER_S,
         loaded=found.models is None or bool(found.models),
-        start=str(found.born),
+        generation=str(found.born),
     )
--- a/packages/buckthornwall/src/buckthornwall/platform/tests/test_registrations.py
+++ b/packages/buckthornwall/src/buckthornwall/platform/tests/test_registrations.py
@@ -80,5 +80,5 @@
 def test_an_upstream_that_started_again_under_its_id_is_another_start():
     first = news_of(changes(written(born=17)), whole=True).entries["u0"]
     again = news_of(changes(written(born=18)), whole=True).entries["u0"]
-    assert first.start != again.start
-    assert news_of(changes(written()), whole=True).entries["u0"].start == ""
+    assert first.generation != again.generation
+    assert news_of(changes(written()), whole=True).entries["u0"].generation == ""
--- a/packages/buckthornwall/src/buckthornwall/pools/entry.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/entry.py
@@ -20,8 +20,8 @@
 class UpstreamEntry:
     """One registration; `cold_s` is how much longer it starts up slowly.
 
-    `start` changes where the upstream starts again under the id that it had; it is
-    '' where that is not told.
+    `generation` changes when the upstream restarts under the same id; it is empty
+    where the registration does not name one.
     """
 
     id: UpstreamId
@@ -32,4 +32,4 @@
     state: UpstreamState
     cold_s: float = 0.0
     loaded: bool = True
-    start: str = ""
+    generation: str = ""
--- a/packages/buckthornwall/src/buckthornwall/pools/table.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/table.py
@@ -82,15 +82,15 @@
             known of it is forgotten then, and what is in flight there has failed.
         """
         view = self.views.get(entry.id)
-        started_again = view is not None and _is_another_start(view.entry, entry)
-        if started_again:
+        restarted = view is not None and _has_restarted(view.entry, entry)
+        if restarted:
             self._members[view.entry.pool].pop(entry.id, None)
             log_event(
                 "upstream_restarted",
                 "WARNING",
                 upstream=entry.id,
-                start=entry.start,
-                before=view.entry.start,
+                start=entry.generation,
+                before=view.entry.generation,
                 requests=view.load.requests,
             )
             view = None
@@ -110,7 +110,7 @@
         view.entry = entry
         self._members.setdefault(entry.pool, {})[entry.id] = view
         self.rate_limits.adopt(view)
-        return started_again
+        return restarted
 
     def of_zone(self, zone: ZoneId) -> list[UpstreamView]:
         """Return the upstreams of an availability zone."""
@@ -336,9 +336,12 @@
         return sorted(others)[len(others) // 2] if others else 0.0
 
 
-def _is_another_start(before: UpstreamEntry, now: UpstreamEntry) -> bool:
+def _has_restarted(before: UpstreamEntry, now: UpstreamEntry) -> bool:
     """Tell whether two registrations under one id are of two starts.
 
     An entry that does not tell its start says nothing of it.
     """
-    return bool(before.start and now.start) and before.start != now.start
+    return (
+        bool(before.generation and now.generation)
+        and before.generation != now.generation
+    )
--- a/packages/buckthornwall/src/buckthornwall/pools/tests/test_table.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/tests/test_table.py
@@ -11,7 +11,7 @@
 PROMPT = PromptShape(ModelId("m"), 900, 10, (PromptSegment("s", 600),))
 
 
-def entry(start: str) -> UpstreamEntry:
+def entry(generation: str) -> UpstreamEntry:
     return UpstreamEntry(
         UpstreamId("a"),
         POOL,
@@ -19,7 +19,7 @@
         ZoneId("z"),
         4,
         UpstreamState.READY,
-        start=start,
+        generation=generation,
     )
 
 
@@ -45,8 +45,8 @@
     assert list(table.members(POOL)) == [view]
 
 
-@pytest.mark.parametrize("start", ["1", ""])
-def test_what_is_known_stays_where_no_other_start_is_told(table, start):
+@pytest.mark.parametrize("generation", ["1", ""])
+def test_what_is_known_stays_where_no_other_start_is_told(table, generation):
     view = table.views["a"]
-    assert not table.adopt(entry(start))
+    assert not table.adopt(entry(generation))
     assert table.views["a"] is view
--- a/packages/buckthornwall/src/buckthornwall/quarantine/__init__.py
+++ b/packages/buckthornwall/src/buckthornwall/quarantine/__init__.py
@@ -10,7 +10,7 @@
 """
 
 from .fingerprint import Fingerprint, fingerprint_of, format_fingerprint
-from .record import CrashRecord, RunTag, run_tag
+from .record import CrashRecord, GenerationTag, generation_tag
 from .settings import QuarantineSettings
 from .table import CrashReport, QuarantineTable
 
@@ -20,8 +20,8 @@
     "Fingerprint",
     "QuarantineSettings",
     "QuarantineTable",
-    "RunTag",
+    "GenerationTag",
     "fingerprint_of",
     "format_fingerprint",
-    "run_tag",
+    "generation_tag",
 ]
--- a/packages/buckthornwall/src/buckthornwall/quarantine/record.py
+++ b/packages/buckthornwall/src/buckthornwall/quarantine/record.py
@@ -9,10 +9,17 @@
 
 from .fingerprint import FINGERPRINT_BYTES, Fingerprint
 
-__all__ = ["TAG_BYTES", "CrashRecord", "RunTag", "pool_of", "pool_tag", "run_tag"]
-
-# One incarnation of an upstream: a hash of its pool, then one of its id and start.
-RunTag = NewType("RunTag", int)
+__all__ = [
+    "TAG_BYTES",
+    "CrashRecord",
+    "GenerationTag",
+    "pool_of",
+    "pool_tag",
+    "generation_tag",
+]
+
+# One generation of an upstream: a hash of its pool, then one of its id and generation.
+GenerationTag = NewType("GenerationTag", int)
 
 POOL_BYTES = 2
 UPSTREAM_BYTES = 4
@@ -26,13 +33,13 @@
     return _hash(pool, POOL_BYTES)
 
 
-def run_tag(pool: PoolId, upstream: str, start: str) -> RunTag:
+def generation_tag(pool: PoolId, upstream: str, generation: str) -> GenerationTag:
     """Return what tells one incarnation of an upstream from all others."""
-    own = _hash(f"{upstream}\0{start}", UPSTREAM_BYTES)
-    return RunTag(pool_tag(pool) << 8 * UPSTREAM_BYTES | own)
+    own = _hash(f"{upstream}\0{generation}", UPSTREAM_BYTES)
+    return GenerationTag(pool_tag(pool) << 8 * UPSTREAM_BYTES | own)
 
 
-def pool_of(tag: RunTag) -> int:
+def pool_of(tag: GenerationTag) -> int:
     """Return the hash of the pool that an upstream belonged to."""
     return tag >> 8 * UPSTREAM_BYTES
 
@@ -50,8 +57,8 @@
     or ended an upstream, and `told_at` when others were last told of it, in seconds.
     """
 
-    ends: set[RunTag] = field(default_factory=set)
-    cleared: set[RunTag] = field(default_factory=set)
+    ends: set[GenerationTag] = field(default_factory=set)
+    cleared: set[GenerationTag] = field(default_factory=set)
     seen_at: float = float("-inf")
     told_at: float = float("-inf")
 
@@ -60,7 +67,7 @@
         """How many upstreams it is held to have crashed."""
         return len(self.ends - self.cleared)
 
-    def merge(self, ends: set[RunTag], cleared: set[RunTag]) -> None:
+    def merge(self, ends: set[GenerationTag], cleared: set[GenerationTag]) -> None:
         """Add what is known elsewhere, as far as there is room."""
         room = max(0, MOST_ENDS - len(self.ends))
         self.ends.update(sorted(ends - self.ends)[:room])
--- a/packages/buckthornwall/src/buckthornwall/quarantine/table.py
+++ b/packages/buckthornwall/src/buckthornwall/quarantine/table.py
@@ -16,7 +16,7 @@
 from buckthornwall.telemetry import log_event
 
 from .fingerprint import Fingerprint, format_fingerprint
-from .record import TAG_BYTES, CrashRecord, RunTag, pool_of, pool_tag
+from .record import TAG_BYTES, CrashRecord, GenerationTag, pool_of, pool_tag
 from .settings import QuarantineSettings
 from .successes import RecentSuccesses
 
@@ -69,7 +69,9 @@
 
     # What this instance sees
 
-    def record_end(self, fingerprint: Fingerprint, tag: RunTag, now: float) -> None:
+    def record_end(
+        self, fingerprint: Fingerprint, tag: GenerationTag, now: float
+    ) -> None:
         """Record that an upstream ended beneath a request."""
         self._merge(fingerprint, {tag}, set(), now, now)
         record = self.records[fingerprint]
@@ -128,8 +130,8 @@
         if not report.ends or report.age_s > self.settings.forget_s:
             return
         fingerprint = Fingerprint(report.fingerprint)
-        ends = {RunTag(tag) for tag in report.ends}
-        cleared = {RunTag(tag) for tag in report.cleared}
+        ends = {GenerationTag(tag) for tag in report.ends}
+        cleared = {GenerationTag(tag) for tag in report.cleared}
         self._merge(fingerprint, ends, cleared, now - report.age_s, now)
 
     def take_changed(self, most: int, now: float) -> list[CrashReport]:
@@ -156,8 +158,8 @@
     def _merge(
         self,
         fingerprint: Fingerprint,
-        ends: set[RunTag],
-        cleared: set[RunTag],
+        ends: set[GenerationTag],
+        cleared: set[GenerationTag],
         seen_at: float,
         now: float,
     ) -> None:
--- a/packages/buckthornwall/src/buckthornwall/quarantine/tests/test_table.py
+++ b/packages/buckthornwall/src/buckthornwall/quarantine/tests/test_table.py
@@ -9,7 +9,7 @@
     Fingerprint,
     QuarantineSettings,
     QuarantineTable,
-    run_tag,
+    generation_tag,
 )
 from buckthornwall.routing import PoolId
 
@@ -19,8 +19,8 @@
 NOW = 1000.0
 
 
-def tag(upstream, pool=POOL, start=""):
-    return run_tag(pool, upstream, start)
+def tag(upstream, pool=POOL, generation=""):
+    return generation_tag(pool, upstream, generation)
 
 
 def make_table(**changes):
@@ -56,8 +56,8 @@
 
 
 def test_an_upstream_that_ends_again_after_another_start_counts_again(table):
-    for start in ("1", "2", "3"):
-        table.record_end(REQUEST, tag("a", start=start), NOW)
+    for generation in ("1", "2", "3"):
+        table.record_end(REQUEST, tag("a", generation=generation), NOW)
     assert table.is_refused(REQUEST, NOW)
 
 
