--- a/packages/buckthornwall-ctl/src/buckthornwall_ctl/load.py
+++ b/packages/buckthornwall-ctl/src/buckthornwall_ctl/load.py
@@ -35,7 +35,7 @@
     """What was placed at one engine; the most that was known to wait there."""
 
     placed: int = 0
-    most_unread: int = 0
+    max_pending_prefill: int = 0
     most_in_flight: int = 0
 
 
@@ -90,7 +90,9 @@
     second.expected_ms.append(float(line.pairs["expected_ms"]))
     engine = load.engines.setdefault(line.pairs["upstream"], EngineLoad())
     engine.placed += 1
-    engine.most_unread = max(engine.most_unread, int(line.pairs["unread_before"]))
+    engine.max_pending_prefill = max(
+        engine.max_pending_prefill, int(line.pairs["unread_before"])
+    )
     engine.most_in_flight = max(engine.most_in_flight, int(line.pairs["in_flight"]))
 
 
@@ -112,10 +114,13 @@
             f"{len(second.overdue):17d}"
         )
     lines.append("engine  placed  most unread before  most in flight")
-    engines = sorted(load.engines.items(), key=lambda each: -each[1].most_unread)
+    engines = sorted(
+        load.engines.items(), key=lambda each: -each[1].max_pending_prefill
+    )
     for name, engine in engines[:SHOWN]:
         lines.append(
-            f"{name}  {engine.placed}  {engine.most_unread}  {engine.most_in_flight}"
+            f"{name}  {engine.placed}  {engine.max_pending_prefill}"
+            f"  {engine.most_in_flight}"
         )
     lines.append("instance  requests  first token later than expected, p50 ms")
     late = sorted(load.late_ms.items(), key=lambda each: -median(each[1]))
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/peers_sim/word_age.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/peers_sim/word_age.py
@@ -1,8 +1,8 @@
 """How old what instances know of each other's work is, and what telling it costs.
 
-One instance of each zone has work at an engine of its own, whose unread tokens tell the
-time. What the others take it to be shows the age of their word. Beside that every
-instance has requests at engines drawn anew all the time, and sends new prompts.
+One instance of each zone has work at an engine of its own, whose pending prefill tokens
+tell the time. What the others take it to be shows the age of their word. Beside that
+every instance has requests at engines drawn anew all the time, and sends new prompts.
 """
 
 import argparse
@@ -148,9 +148,9 @@
         table = peer.agent.table
         known = table.others_work(peer.make_beacon(), now)
         return [
-            now - known[probe].unread[RANK] / TICK_TOKENS * TICK_S
+            now - known[probe].pending_prefill[RANK] / TICK_TOKENS * TICK_S
             for holder, probe in self.probes.items()
-            if holder != address and probe in known and known[probe].unread
+            if holder != address and probe in known and known[probe].pending_prefill
         ]
 
 
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/pool_sim/engine.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/pool_sim/engine.py
@@ -75,7 +75,9 @@
         in_use = len(self.running) + len(self.waiting)
         if in_use >= self.speed.slots + self.speed.queued:
             return False
-        request.unread = request.prompt.prompt_tokens - self._held_of(request)
+        request.pending_prefill_tokens = request.prompt.prompt_tokens - self._held_of(
+            request
+        )
         heapq.heappush(self.waiting, (rank, number, request))
         return True
 
@@ -104,7 +106,7 @@
         end = now + duration
         for request in list(self.running):
             self._make_token(request, end)
-        if head is not None and head.unread <= 0:
+        if head is not None and head.pending_prefill_tokens <= 0:
             heapq.heappop(self.waiting)
             self._keep(head)
             self.running.append(head)
@@ -147,10 +149,12 @@
 
     def _read(self, request: SimRequest) -> float:
         held = self._held_of(request)  # read for another one meanwhile, perhaps
-        request.unread = min(request.unread, request.prompt.prompt_tokens - held)
-        tokens = max(0, min(request.unread, self.speed.piece))
-        before = request.prompt.prompt_tokens - request.unread
-        request.unread -= tokens
+        request.pending_prefill_tokens = min(
+            request.pending_prefill_tokens, request.prompt.prompt_tokens - held
+        )
+        tokens = max(0, min(request.pending_prefill_tokens, self.speed.piece))
+        before = request.prompt.prompt_tokens - request.pending_prefill_tokens
+        request.pending_prefill_tokens -= tokens
         self.fresh_tokens += tokens
         pairs_s = self.speed.context_s * tokens * before / 1e6
         return tokens / self.speed.tokens_per_s + pairs_s
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/pool_sim/instance.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/pool_sim/instance.py
@@ -102,7 +102,7 @@
         load.requests += 1
         load.tight += traits.tight
         load.memory += request.prompt.memory_tokens
-        load.add_unread(rank, choice.fresh_tokens)
+        load.add_pending_prefill(rank, choice.fresh_tokens)
         load.waits.begin(rank, request, sent_at)
         choice.view.health.note_sent(sent_at)
         self.pools.note_prompt(choice.view, request.prompt)
@@ -110,7 +110,7 @@
         was_idle = False
 
         def on_first(now: float) -> None:
-            load.add_unread(rank, -choice.fresh_tokens)
+            load.add_pending_prefill(rank, -choice.fresh_tokens)
             load.waits.end(rank, request, is_served=not request.failed)
             if request.failed:
                 return
@@ -125,7 +125,7 @@
                 on_first(now)
             if not request.failed:
                 choice.view.reachability.record_answered(now)
-            is_idle = not load.unread_all()
+            is_idle = not load.total_pending_prefill()
             if last_at is not None and not done:
                 gap_s = now - last_at
                 model.note_gap(
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/pool_sim/request.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/pool_sim/request.py
@@ -97,7 +97,7 @@
     prompt: PromptShape
     answer_tokens: int
     asked_at: float = 0.0
-    unread: int = 0
+    pending_prefill_tokens: int = 0
     made: int = 0
     first_at: float | None = None
     last_at: float = 0.0
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/tests/test_tiers.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/tests/test_tiers.py
@@ -105,8 +105,8 @@
     were gathered on a third of the engines, and whoever had heard of a free slot there
     sent to it what came next: 551 of 2,570 had no event within two seconds, in a pool
     that could read twice what it was asked. On a busy day 259 of them had 40,000 to
-    80,000 unread tokens of their own kind before them, and began after 1.19 s (p50).
-    What such engines have no room for now goes to the others.
+    80,000 pending prefill tokens of their own kind before them, and began after 1.19 s
+    (p50). What such engines have no room for now goes to the others.
     """
     traffic = [
         replace(REVIEWS, bursts=()),
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/users_platform/engine.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/users_platform/engine.py
@@ -23,7 +23,7 @@
 class _Prompt:
     """One request there: the segments that it has still to read."""
 
-    unread: int
+    pending_prefill_tokens: int
     segments: dict[bytes, int]
     read: trio.Event = field(default_factory=trio.Event)
     is_left: bool = False
@@ -69,10 +69,10 @@
                 await self._come.wait()
                 continue
             prompt = self._waiting[0][2]
-            piece = min(prompt.unread, PIECE_TOKENS)
+            piece = min(prompt.pending_prefill_tokens, PIECE_TOKENS)
             await trio.sleep(piece / self.tokens_per_s)
-            prompt.unread -= piece
-            if not prompt.unread:
+            prompt.pending_prefill_tokens -= piece
+            if not prompt.pending_prefill_tokens:
                 self._waiting = [e for e in self._waiting if e[2] is not prompt]
                 heapq.heapify(self._waiting)
                 self.held.update(prompt.segments)
@@ -94,8 +94,10 @@
     async def _wait(
         self, rank: int, segments: dict[bytes, int]
     ) -> AsyncIterator[_Prompt]:
-        unread = sum(n for segment, n in segments.items() if segment not in self.held)
-        prompt = _Prompt(max(1, unread), segments)
+        pending_prefill = sum(
+            n for segment, n in segments.items() if segment not in self.held
+        )
+        prompt = _Prompt(max(1, pending_prefill), segments)
         heapq.heappush(self._waiting, (rank, next(self._numbers), prompt))
         self._come.set()
         try:
--- a/packages/buckthornwall/src/buckthornwall/engine_model/model.py
+++ b/packages/buckthornwall/src/buckthornwall/engine_model/model.py
@@ -19,7 +19,8 @@
 FIRST_READING_STEP_S = 0.028
 LONG_SHARE = 0.9
 # A step this many times as long as a quiet one was stretched by reading. By counts of
-# unread tokens alone, most steps that seem to be beside reading are quiet ones.
+# pending prefill tokens alone, most steps that seem to be beside reading are quiet
+# ones.
 STRETCH = 2.5
 # Prompt tokens read in a second, until first tokens say otherwise.
 FIRST_TOKENS_PER_S = 50_000.0
@@ -125,14 +126,14 @@
         """Return how long it takes to read so many prompt tokens."""
         return tokens / self.tokens_per_s
 
-    def pause_s(self, tokens_per_event: int, unread: float) -> float:
-        """Return the longest pause of a stream beside so many unread tokens.
+    def pause_s(self, tokens_per_event: int, pending_prefill: float) -> float:
+        """Return the longest pause of a stream beside so many pending prefill tokens.
 
         Not longer than an event whose every step is a long one, nor than all of
         the reading together with the steps of an event.
         """
         filled_s = tokens_per_event * self.long_step_s
-        whole_s = tokens_per_event * self.quiet_step_s + self.read_s(unread)
+        whole_s = tokens_per_event * self.quiet_step_s + self.read_s(pending_prefill)
         return min(filled_s, whole_s)
 
     def longest_s(self, tokens: int) -> float:
--- a/packages/buckthornwall/src/buckthornwall/engine_model/tests/test_model.py
+++ b/packages/buckthornwall/src/buckthornwall/engine_model/tests/test_model.py
@@ -38,19 +38,19 @@
         self.piece = piece
         self.tokens_per_event = tokens_per_event
 
-    def step_s(self, unread):
-        reading_s = min(unread, self.piece) / self.tokens_per_s
+    def step_s(self, pending_prefill):
+        reading_s = min(pending_prefill, self.piece) / self.tokens_per_s
         return (self.quiet_s + reading_s) * self.draw.uniform(0.95, 1.15)
 
     def show(self, model, events=400):
         for _ in range(events):
-            unread = self.draw.choice([0, 0, 60_000])
+            pending_prefill = self.draw.choice([0, 0, 60_000])
             gap_s = 0.0
-            left = unread
+            left = pending_prefill
             for _ in range(self.tokens_per_event):
                 gap_s += self.step_s(left)
                 left = max(0, left - self.piece)
-            model.note_gap(gap_s, self.tokens_per_event, not unread)
+            model.note_gap(gap_s, self.tokens_per_event, not pending_prefill)
             model.note_first(8000, 8000 / self.tokens_per_s + 0.004)
 
 
@@ -77,7 +77,7 @@
 
 
 def test_quiet_steps_said_to_be_beside_reading_do_not_count_as_such(draw):
-    """The counts of unread tokens are 0.1 to 0.5 s old and clear late."""
+    """The counts of pending prefill tokens are 0.1 to 0.5 s old and clear late."""
     model = EngineModel()
     Engine(draw, 0.004, 60_000).show(model)
     before = model.reading_step_s, model.long_step_s
--- a/packages/buckthornwall/src/buckthornwall/forwarding/account.py
+++ b/packages/buckthornwall/src/buckthornwall/forwarding/account.py
@@ -100,7 +100,7 @@
             rank=job.resolution.rank,
             fresh_tokens=choice.fresh_tokens,
             copy_from=choice.copy_from,
-            unread_before=view.load.unread_before(job.resolution.rank),
+            unread_before=view.load.pending_prefill_before(job.resolution.rank),
             oldest_ms=round(choice.oldest_s * 1000),
             expected_ms=round(expected_s * 1000),
             expected_pause_ms=round(choice.pause_s * 1000),
--- a/packages/buckthornwall/src/buckthornwall/forwarding/attempt.py
+++ b/packages/buckthornwall/src/buckthornwall/forwarding/attempt.py
@@ -103,7 +103,7 @@
         except ExchangeError as error:
             return AttemptResult(AttemptEnd.NOT_SENT, error.detail)
         load = view.load
-        unread = _Unread(
+        pending_prefill = _PendingPrefill(
             view, self.resolution.rank, self.choice.fresh_tokens, self.clock.now()
         )
         prompt = self.request.prompt
@@ -114,12 +114,12 @@
         view.health.note_sent(self.clock.now())
         reply = None
         try:
-            reply, result = await self._exchange(connection, unread)
+            reply, result = await self._exchange(connection, pending_prefill)
         finally:
             load.requests -= 1
             load.tight -= self.tight
             load.memory -= memory
-            unread.clear(is_served=False)
+            pending_prefill.clear(is_served=False)
             if reply is None or reply.closes or reply.misdirected:
                 self.connections.drop(view.id, connection)
             else:
@@ -127,7 +127,7 @@
         return result
 
     async def _exchange(
-        self, connection: ClientConnection, unread: "_Unread"
+        self, connection: ClientConnection, pending_prefill: "_PendingPrefill"
     ) -> tuple[Reply | None, AttemptResult]:
         """Return the result, and the reply if the connection may be kept."""
         view = self.choice.view
@@ -143,7 +143,7 @@
             with _limit(self.silence_s):
                 reply = await self._own_reply(connection)
             self._note_reply(reply)
-            return await self._take_reply(connection, reply, unread)
+            return await self._take_reply(connection, reply, pending_prefill)
         except ExchangeError as error:
             return None, AttemptResult(
                 AttemptEnd.BROKEN, error.detail, failure=error.failure
@@ -185,11 +185,14 @@
         raise ExchangeError(ExchangeFailure.GARBLED, "replies to other requests")
 
     async def _take_reply(
-        self, connection: ClientConnection, reply: Reply, unread: "_Unread"
+        self,
+        connection: ClientConnection,
+        reply: Reply,
+        pending_prefill: "_PendingPrefill",
     ) -> tuple[Reply | None, AttemptResult]:
         form = self.resolution.route.form
         if reply.good and form is AnswerForm.EVENTS:
-            await self._relay_events(connection, reply, unread)
+            await self._relay_events(connection, reply, pending_prefill)
             return reply, AttemptResult(AttemptEnd.DONE)
         body = await self._read_whole(connection)
         if reply.not_run:
@@ -213,7 +216,10 @@
         return bytes(body)
 
     async def _relay_events(
-        self, connection: ClientConnection, reply: Reply, unread: "_Unread"
+        self,
+        connection: ClientConnection,
+        reply: Reply,
+        pending_prefill: "_PendingPrefill",
     ) -> None:
         view = self.choice.view
         watch = _StepWatch(view, self.model, self._tokens_per_event(), self.tight)
@@ -222,7 +228,7 @@
             view.reachability.record_answered(now)
             events = await self.delivery.events(reply, data)
             if events:
-                unread.clear(is_served=True)
+                pending_prefill.clear(is_served=True)
                 watch.note(events, now)
         await self.delivery.end(reply)
 
@@ -259,7 +265,7 @@
 
     def note(self, events: int, now: float) -> None:
         """Take events that came together at `now`."""
-        is_idle = not self.view.load.unread_all()
+        is_idle = not self.view.load.total_pending_prefill()
         if self._last_at is not None and events == 1:
             gap_s = now - self._last_at
             was_idle = is_idle and self._was_idle
@@ -268,7 +274,7 @@
         self._was_idle = is_idle
 
 
-class _Unread:
+class _PendingPrefill:
     """A prompt that counts at an upstream until its first token comes."""
 
     def __init__(
@@ -277,12 +283,12 @@
         self.view = view
         self.rank = rank
         self.tokens = tokens
-        view.load.add_unread(rank, tokens)
+        view.load.add_pending_prefill(rank, tokens)
         if tokens:
             view.load.waits.begin(rank, self, sent_at)
 
     def clear(self, is_served: bool) -> None:
         """Stop counting it."""
-        self.view.load.add_unread(self.rank, -self.tokens)
+        self.view.load.add_pending_prefill(self.rank, -self.tokens)
         self.tokens = 0
         self.view.load.waits.end(self.rank, self, is_served)
--- a/packages/buckthornwall/src/buckthornwall/peers/messages.py
+++ b/packages/buckthornwall/src/buckthornwall/peers/messages.py
@@ -46,14 +46,14 @@
 class Work(msgspec.Struct, array_like=True, frozen=True):
     """What instances have sent to one upstream and not yet got back.
 
-    `requests` are in flight, `unread` are prompt tokens still to be read by rank,
-    `tight` counts the requests that are streams whose pauses must be short, and
-    `oldest_ms` tells by rank how long the oldest has waited for its first token.
+    `requests` are in flight, `pending_prefill` are prompt tokens yet to be prefilled,
+    by rank, `tight` counts the requests that are streams whose pauses must be short,
+    and `oldest_ms` tells by rank how long the oldest has waited for its first token.
     `memory` counts the tokens that they take in the engine's memory.
     """
 
     requests: int = 0
-    unread: dict[int, int] = {}
+    pending_prefill: dict[int, int] = {}
     tight: int = 0
     oldest_ms: dict[int, int] = {}
     memory: int = 0
--- a/packages/buckthornwall/src/buckthornwall/peers/packing.py
+++ b/packages/buckthornwall/src/buckthornwall/peers/packing.py
@@ -19,7 +19,7 @@
 
 # Prompt tokens are read in pieces of hundreds; engines' memory holds hundreds of
 # thousands. Waits count from 200 ms on.
-UNREAD_UNIT_TOKENS = 32
+PENDING_PREFILL_UNIT_TOKENS = 32
 MEMORY_UNIT_TOKENS = 256
 WAIT_UNIT_MS = 20
 PART_UNIT_TOKENS = 32
@@ -41,7 +41,9 @@
         The list, as whoever reads this has it.
     """
     works = [loads.get(name, NOTHING) for name in names]
-    ranks = sorted({rank for work in works for rank in (*work.unread, *work.oldest_ms)})
+    ranks = sorted(
+        {rank for work in works for rank in (*work.pending_prefill, *work.oldest_ms)}
+    )
     ranks = [rank for rank in ranks if 0 <= rank <= MOST_BYTE]
     packed = [
         struct.pack("<HB", len(names), len(ranks)),
@@ -51,9 +53,13 @@
         _words(_units(work.memory, MEMORY_UNIT_TOKENS) for work in works),
     ]
     for rank in ranks:
-        unread = (work.unread.get(rank, 0) for work in works)
+        pending_prefill = (work.pending_prefill.get(rank, 0) for work in works)
         oldest = (work.oldest_ms.get(rank, 0) for work in works)
-        packed.append(_words(_units(each, UNREAD_UNIT_TOKENS) for each in unread))
+        packed.append(
+            _words(
+                _units(each, PENDING_PREFILL_UNIT_TOKENS) for each in pending_prefill
+            )
+        )
         packed.append(_bytes(_units(each, WAIT_UNIT_MS) for each in oldest))
     return b"".join(packed)
 
@@ -80,12 +86,12 @@
     reader.end()
     loads = {}
     for place, name in enumerate(names):
-        unread = {
-            rank: tokens[place] * UNREAD_UNIT_TOKENS
+        pending_prefill = {
+            rank: tokens[place] * PENDING_PREFILL_UNIT_TOKENS
             for rank, tokens, _ in columns
             if tokens[place]
         }
-        if not requests[place] and not unread:
+        if not requests[place] and not pending_prefill:
             continue
         oldest_ms = {
             rank: waits[place] * WAIT_UNIT_MS
@@ -94,7 +100,7 @@
         }
         loads[name] = Work(
             requests[place],
-            unread,
+            pending_prefill,
             tight[place],
             oldest_ms,
             memory[place] * MEMORY_UNIT_TOKENS,
--- a/packages/buckthornwall/src/buckthornwall/peers/tests/test_packing.py
+++ b/packages/buckthornwall/src/buckthornwall/peers/tests/test_packing.py
@@ -58,7 +58,7 @@
     loads = {E2: Work(70_000, {300: 9, 1: 10**9}, 300, {1: 10**6}, 10**9)}
     (work,) = unpack_loads(pack_loads(loads, NAMES), NAMES).values()
     assert (work.requests, work.tight) == (65_535, 255)
-    assert work.unread == {1: 65_535 * 32}
+    assert work.pending_prefill == {1: 65_535 * 32}
     assert work.oldest_ms == {1: 255 * 20}
     assert work.memory == 65_535 * 256
 
@@ -107,15 +107,17 @@
 @given(st.dictionaries(st.sampled_from(NAMES), WORKS))
 def test_whatever_is_counted_comes_back_in_its_units(loads):
     back = unpack_loads(pack_loads(loads, NAMES), NAMES)
-    shown = {name for name, work in loads.items() if work.requests or work.unread}
+    shown = {
+        name for name, work in loads.items() if work.requests or work.pending_prefill
+    }
     assert back.keys() == shown
     for name in shown:
         sent, got = loads[name], back[name]
         assert (got.requests, got.tight) == (sent.requests, sent.tight)
         assert 0 <= got.memory - sent.memory < 256
-        assert got.unread.keys() == sent.unread.keys()
-        for rank, tokens in sent.unread.items():
-            assert 0 <= got.unread[rank] - tokens < 32
+        assert got.pending_prefill.keys() == sent.pending_prefill.keys()
+        for rank, tokens in sent.pending_prefill.items():
+            assert 0 <= got.pending_prefill[rank] - tokens < 32
         for rank, age in sent.oldest_ms.items():
             assert 0 <= got.oldest_ms[rank] - age < 20
 
@@ -175,7 +177,7 @@
     own.held = {E2: [("00c0ffee", 4000)], E1: [("s", 900)]}
     assert second.receive_heartbeat(counts(first, own, 0.2), 0.2) == own.held
     others = second.others_work(beacon(SECOND), 0.2)
-    assert others[E1].unread == {5: 640}
+    assert others[E1].pending_prefill == {5: 640}
     assert others[E2].requests == 1
 
 
--- a/packages/buckthornwall/src/buckthornwall/peers/tests/test_peers.py
+++ b/packages/buckthornwall/src/buckthornwall/peers/tests/test_peers.py
@@ -119,7 +119,7 @@
         7, {0: 100, 5: 80}, 0
     )
     others = first.others_work(own, 0.6)[ENGINE]
-    assert (others.requests, others.unread) == (3, {0: 100, 5: 75})
+    assert (others.requests, others.pending_prefill) == (3, {0: 100, 5: 75})
     assert first.expire(1.0) == [SECOND]
     assert first.others_work(own, 1.0)[ENGINE].requests == 1
 
@@ -145,7 +145,7 @@
         first.make_digest(beacon(FIRST, {ENGINE: Work(1, {}, 0)}), True, now=0.0), 0.0
     )
     others = second.others_work(beacon(SECOND), 0.1)[ENGINE]
-    assert (others.requests, others.unread) == (1, {})
+    assert (others.requests, others.pending_prefill) == (1, {})
 
 
 def test_zones_are_added_once_and_only_from_their_speakers():
--- a/packages/buckthornwall/src/buckthornwall/peers/work.py
+++ b/packages/buckthornwall/src/buckthornwall/peers/work.py
@@ -9,7 +9,8 @@
 
 NOTHING = Work()
 MS_PER_S = 1000.0
-# Shorter waits say nothing that counts of unread tokens do not, and cost bytes.
+# Shorter waits say nothing that counts of pending prefill tokens do not, and cost
+# bytes.
 LEAST_TOLD_WAIT_S = 0.2
 
 
@@ -20,22 +21,24 @@
         for rank, age in load.waits.oldest_s(now).items()
         if age >= LEAST_TOLD_WAIT_S
     }
-    return Work(load.requests, dict(load.unread), load.tight, oldest_ms, load.memory)
+    return Work(
+        load.requests, dict(load.pending_prefill), load.tight, oldest_ms, load.memory
+    )
 
 
 def add_work(total: dict[UpstreamId, Work], part: dict[UpstreamId, Work]) -> None:
     """Add the work of a part to a total."""
     for upstream, work in part.items():
         before = total.get(upstream, NOTHING)
-        unread = dict(before.unread)
-        for rank, tokens in work.unread.items():
-            unread[rank] = unread.get(rank, 0) + tokens
+        pending_prefill = dict(before.pending_prefill)
+        for rank, tokens in work.pending_prefill.items():
+            pending_prefill[rank] = pending_prefill.get(rank, 0) + tokens
         oldest_ms = dict(before.oldest_ms)
         for rank, age in work.oldest_ms.items():
             oldest_ms[rank] = max(age, oldest_ms.get(rank, 0))
         total[upstream] = Work(
             before.requests + work.requests,
-            unread,
+            pending_prefill,
             before.tight + work.tight,
             oldest_ms,
             before.memory + work.memory,
@@ -48,17 +51,17 @@
     The oldest of all stays the oldest, whoever sent it.
     """
     requests = max(0, work.requests - own.requests)
-    unread = {
-        rank: tokens - own.unread.get(rank, 0)
-        for rank, tokens in work.unread.items()
-        if tokens > own.unread.get(rank, 0)
+    pending_prefill = {
+        rank: tokens - own.pending_prefill.get(rank, 0)
+        for rank, tokens in work.pending_prefill.items()
+        if tokens > own.pending_prefill.get(rank, 0)
     }
-    if not requests and not unread:
+    if not requests and not pending_prefill:
         return NO_PEERS
     oldest_s = {rank: age / MS_PER_S for rank, age in work.oldest_ms.items()}
     return PeerLoad(
         requests,
-        unread,
+        pending_prefill,
         max(0, work.tight - own.tight),
         oldest_s,
         max(0, work.memory - own.memory),
--- a/packages/buckthornwall/src/buckthornwall/pools/load.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/load.py
@@ -23,14 +23,14 @@
 class PeerLoad:
     """What other instances have sent there and not yet got back.
 
-    `unread` gives the prompt tokens still to be read, by rank, and `tight` how
+    `pending_prefill` gives the prompt tokens still to be read, by rank, and `tight` how
     many of the requests are streams whose pauses must be short. `oldest_s` tells,
     by rank, how long the oldest request has waited for its first token, in seconds.
     `memory` counts the tokens that the requests take in the engine's memory.
     """
 
     requests: int = 0
-    unread: dict[int, int] = field(default_factory=dict)
+    pending_prefill: dict[int, int] = field(default_factory=dict)
     tight: int = 0
     oldest_s: dict[int, float] = field(default_factory=dict)
     memory: int = 0
@@ -48,7 +48,7 @@
         Requests of this instance in flight there.
     tight : int
         Those of them whose pauses must be short.
-    unread : dict
+    pending_prefill : dict
         By rank, the prompt tokens of this instance sent there whose first
         token is due.
     memory : int
@@ -62,7 +62,7 @@
     def __init__(self) -> None:
         self.requests = 0
         self.tight = 0
-        self.unread: dict[int, int] = {}
+        self.pending_prefill: dict[int, int] = {}
         self.memory = 0
         self.waits = Waits()
         self.peers = NO_PEERS
@@ -76,13 +76,13 @@
         self._report_at = now
         self._own_at_report = self.requests
 
-    def add_unread(self, rank: int, tokens: int) -> None:
+    def add_pending_prefill(self, rank: int, tokens: int) -> None:
         """Count prompt tokens of a rank, or no longer if negative."""
-        left = self.unread.get(rank, 0) + tokens
+        left = self.pending_prefill.get(rank, 0) + tokens
         if left > 0:
-            self.unread[rank] = left
+            self.pending_prefill[rank] = left
         else:
-            self.unread.pop(rank, None)
+            self.pending_prefill.pop(rank, None)
 
     def tight_all(self) -> int:
         """Return the streams there whose pauses must be short."""
@@ -123,19 +123,21 @@
             default=0.0,
         )
 
-    def unread_before(self, rank: int) -> int:
+    def pending_prefill_before(self, rank: int) -> int:
         """Return the prompt tokens that are read before a new one of `rank`."""
         return sum(
             tokens
-            for unread in (self.unread, self.peers.unread)
-            for other, tokens in unread.items()
+            for pending_prefill in (self.pending_prefill, self.peers.pending_prefill)
+            for other, tokens in pending_prefill.items()
             if other <= rank
         )
 
-    def unread_after(self, rank: int) -> int:
+    def pending_prefill_after(self, rank: int) -> int:
         """Return the prompt tokens that are read after a new one of `rank`."""
-        return self.unread_all() - self.unread_before(rank)
+        return self.total_pending_prefill() - self.pending_prefill_before(rank)
 
-    def unread_all(self) -> int:
+    def total_pending_prefill(self) -> int:
         """Return all prompt tokens that wait there to be read."""
-        return sum(self.unread.values()) + sum(self.peers.unread.values())
+        return sum(self.pending_prefill.values()) + sum(
+            self.peers.pending_prefill.values()
+        )
--- a/packages/buckthornwall/src/buckthornwall/pools/placement.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/placement.py
@@ -151,18 +151,20 @@
     ]
     best = min(offers, key=lambda offer: offer.cost)
     load = best.view.load
-    unread = load.unread_all()
+    pending_prefill = load.total_pending_prefill()
     own_s = wanted.model.read_s(best.fresh_tokens)
     return Choice(
         best.view,
         best.fresh_tokens,
-        own_s + wanted.model.read_s(load.unread_before(wanted.rank)),
+        own_s + wanted.model.read_s(load.pending_prefill_before(wanted.rank)),
         own_s,
         _busy_share(best.view, now),
         load.oldest_before_s(wanted.rank, now),
         _copy_from(best.view, source, wanted.prompt),
-        unread == 0,
-        wanted.model.pause_s(wanted.tokens_per_event, unread + best.fresh_tokens),
+        pending_prefill == 0,
+        wanted.model.pause_s(
+            wanted.tokens_per_event, pending_prefill + best.fresh_tokens
+        ),
     )
 
 
@@ -213,8 +215,8 @@
 
 def _harm(view: UpstreamView, wanted: PlacementRequest, fresh: int) -> float:
     """Return what a prompt does to tight streams of an engine, in seconds."""
-    unread = view.load.unread_all() + fresh
-    pause_s = wanted.model.pause_s(wanted.tokens_per_event, unread)
+    pending_prefill = view.load.total_pending_prefill() + fresh
+    pause_s = wanted.model.pause_s(wanted.tokens_per_event, pending_prefill)
     if pause_s <= SAFE_PAUSE_SHARE * wanted.most_pause_s:
         return 0.0
     streams = max(1, view.load.tight_all())
@@ -231,8 +233,8 @@
     """Return the work at an engine before a prompt, in seconds."""
     in_flight = view.load.in_flight(now)
     queued = max(0, in_flight - view.entry.slots)
-    before = view.load.unread_before(wanted.rank)
-    behind = view.load.unread_all() - before
+    before = view.load.pending_prefill_before(wanted.rank)
+    behind = view.load.total_pending_prefill() - before
     steps = in_flight * RUNNING_STEPS + queued * QUEUED_STEPS
     reading_s = wanted.model.read_s(before + BEHIND_WEIGHT * behind)
     cold_s = COLD_SHARE * view.cold_s(now)
--- a/packages/buckthornwall/src/buckthornwall/pools/refusal.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/refusal.py
@@ -135,5 +135,5 @@
     if ledger.has_deficit(rank, tokens, now):
         return True
     views = pools.usable(resolution.pool.id, frozenset(), resolution.regions)
-    waiting = sum(view.load.unread_after(rank) for view in views)
+    waiting = sum(view.load.pending_prefill_after(rank) for view in views)
     return waiting > pools.instances * ledger.refused(rank, now) + tokens
--- a/packages/buckthornwall/src/buckthornwall/pools/tests/test_overload.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/tests/test_overload.py
@@ -41,7 +41,7 @@
 
 def fill(table, rank, tokens, names=("a", "b", "c")):
     for name in names:
-        table.views[name].load.add_unread(rank, tokens)
+        table.views[name].load.add_pending_prefill(rank, tokens)
 
 
 def let_in(table, clock, rank, tokens=20_000):
@@ -110,7 +110,7 @@
     wanted = traits(prompt())
     assert decide(table, clock, wanted)[1].reason is RefusalReason.LATE
     for view in table.members(POOL):
-        view.load.peers = PeerLoad(requests=1, unread={7: 20_000})
+        view.load.peers = PeerLoad(requests=1, pending_prefill={7: 20_000})
     assert decide(table, clock, wanted)[1] is None
     table.ledger(POOL).record_refused(4, 5_000, clock.now())
     assert decide(table, clock, wanted)[1].reason is RefusalReason.LATE
--- a/packages/buckthornwall/src/buckthornwall/pools/tests/test_placement.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/tests/test_placement.py
@@ -30,7 +30,7 @@
 def test_a_part_that_nobody_is_known_to_have_read_is_counted_in_full(table, clock):
     """Taken to lie at its home, the first prompts of a day were counted as a fifth."""
     home = choose(table, clock, prompt()).view
-    home.load.add_unread(5, 3_500)
+    home.load.add_pending_prefill(5, 3_500)
     assert choose(table, clock, prompt()).view is not home
     table.receive_held({home.id: [("s", 4000)]})
     assert choose(table, clock, prompt()).view is home
@@ -50,7 +50,7 @@
     home = choose(table, clock, prompt()).view
     table.receive_held({home.id: [("s", 4000)]})
     assert choose(table, clock, prompt()).copy_from == ""
-    home.load.add_unread(5, 100_000)
+    home.load.add_pending_prefill(5, 100_000)
     choice = choose(table, clock, prompt())
     assert choice.view is not home
     assert choice.copy_from == home.entry.address
@@ -60,14 +60,14 @@
 
 def test_a_crowded_home_is_left(table, clock):
     home = choose(table, clock, prompt()).view
-    home.load.add_unread(5, 100_000)
+    home.load.add_pending_prefill(5, 100_000)
     assert choose(table, clock, prompt()).view is not home
 
 
 def test_a_wait_well_within_the_target_keeps_a_prompt_at_home(table, clock):
     home = choose(table, clock, prompt()).view
     table.receive_held({home.id: [("s", 4000)]})
-    home.load.add_unread(5, 7_000)
+    home.load.add_pending_prefill(5, 7_000)
     assert choose(table, clock, prompt()).view is not home
     assert choose(table, clock, prompt(), free_s=0.2).view is home
 
@@ -75,7 +75,7 @@
 def test_urgent_work_looks_past_what_is_read_after_it(table, clock):
     home = choose(table, clock, prompt()).view
     table.receive_held({home.id: [("s", 4000)]})
-    home.load.add_unread(5, 20_000)
+    home.load.add_pending_prefill(5, 20_000)
     assert choose(table, clock, prompt(), rank=0).view is home
 
 
@@ -123,7 +123,7 @@
     views = table.usable(POOL, set())
     idle = views[-1]
     for view in views[:-1]:
-        view.load.add_unread(5, 90_000)
+        view.load.add_pending_prefill(5, 90_000)
     requests = [wanted(prompt(), key=f"r{n}") for n in range(200)]
     chosen = [choose_engine(views, each, clock.now()).view for each in requests]
     assert 1 <= chosen.count(idle) <= 40
--- a/packages/buckthornwall/src/buckthornwall/pools/tests/test_quiet.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/tests/test_quiet.py
@@ -125,8 +125,8 @@
 def test_streams_overflow_where_the_engines_kept_have_no_room(clock):
     """Two engines of a dozen were told to have a free slot, and got all that came.
 
-    With 40,000 to 80,000 unread tokens of their own kind before them first events came
-    after 1.19 s, where engines not kept would have begun them in 0.15 s.
+    With 40,000 to 80,000 pending prefill tokens of their own kind before them first
+    events came after 1.19 s, where engines not kept would have begun them in 0.15 s.
     """
     table = PoolTable(clock)
     for number in range(12):
@@ -180,7 +180,7 @@
     views = table.usable(POOL, set())
     short = prompt(own_tokens=1000)
     assert choose_engine(views, wanted(short, **more), clock.now()).view is view
-    view.load.add_unread(5, 6_000)
+    view.load.add_pending_prefill(5, 6_000)
     assert choose_engine(views, wanted(short, **more), clock.now()).view is not view
 
 
@@ -189,7 +189,7 @@
     views = table.usable(POOL, set())
     for other in views:
         if other is not view:
-            other.load.add_unread(5, 150_000)
+            other.load.add_pending_prefill(5, 150_000)
     long = prompt(own_tokens=9000)
     assert choose_engine(views, wanted(long, **more), clock.now()).view is view
 
--- a/packages/buckthornwall/src/buckthornwall/pools/tests/test_reachability.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/tests/test_reachability.py
@@ -88,7 +88,7 @@
     for view in table.members(POOL):
         if view.id != "lost":
             view.load.requests = view.entry.slots
-            view.load.add_unread(0, 500_000)
+            view.load.add_pending_prefill(0, 500_000)
     route = replace(tight_route(0.5), tier=2)
     pool = Pool(POOL, "/", 10, EngineTraits(4, 300_000, 4))
     resolution = Resolution(route, pool, TeamId("t"), DEFAULT_TEAM_TIER, 1)
--- a/packages/buckthornwall/src/buckthornwall/pools/tests/test_table.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/tests/test_table.py
@@ -39,7 +39,7 @@
     assert table.adopt(entry("2"))
     view = table.views["a"]
     assert view.load.in_flight(clock.now()) == 0
-    assert view.load.unread_all() == 0
+    assert view.load.total_pending_prefill() == 0
     assert view.prefixes.held(PROMPT) == 0
     assert not view.health.ejected
     assert list(table.members(POOL)) == [view]
--- a/packages/buckthornwall/src/buckthornwall/pools/waits.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/waits.py
@@ -1,8 +1,8 @@
 """How long requests at one upstream have waited for their first token.
 
-What the counts of unread tokens let expect leaves out much that delays a prompt:
-parts that an engine no longer holds, memory that is full, more urgent prompts that
-come later. The age of the oldest request that still waits shows all of it.
+What the counts of pending prefill tokens let expect leaves out much that delays a
+prompt: parts that an engine no longer holds, memory that is full, more urgent prompts
+that come later. The age of the oldest request that still waits shows all of it.
 """
 
 __all__ = ["Waits"]
--- a/packages/buckthornwall/src/buckthornwall/router/operators.py
+++ b/packages/buckthornwall/src/buckthornwall/router/operators.py
@@ -115,7 +115,7 @@
                 "aside": view.health.ejected,
                 "requests": view.load.requests,
                 "in_flight": view.load.in_flight(now),
-                "unread_tokens": view.load.unread_all(),
+                "unread_tokens": view.load.total_pending_prefill(),
                 "limit_per_s": _finite(view.rate_limit.per_s),
                 "cold_s": round(view.cold_s(now), 3),
                 "own_part_per_s": round(view.rate_limit.own_per_s, 3),
