--- a/packages/buckthornwall-standins/src/buckthornwall_standins/pool_sim/engine.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/pool_sim/engine.py
@@ -56,7 +56,7 @@
         Requests whose prompt was read.
     waiting : list
         A heap of rank, number and request.
-    fresh_tokens, again_tokens : int
+    uncached_tokens, again_tokens : int
         Prompt tokens read so far, and those of them of shared segments that some engine
         had read before.
     """
@@ -68,7 +68,7 @@
     held: OrderedDict[str, int] = field(default_factory=OrderedDict)
     running: list[SimRequest] = field(default_factory=list)
     waiting: list[tuple[int, int, SimRequest]] = field(default_factory=list)
-    fresh_tokens: int = 0
+    uncached_tokens: int = 0
 
     def submit(self, request: SimRequest, rank: int, number: int) -> bool:
         """Take a prompt; False if there is no room for one more."""
@@ -155,7 +155,7 @@
         tokens = max(0, min(request.pending_prefill_tokens, self.speed.piece))
         before = request.prompt.prompt_tokens - request.pending_prefill_tokens
         request.pending_prefill_tokens -= tokens
-        self.fresh_tokens += tokens
+        self.uncached_tokens += tokens
         pairs_s = self.speed.context_s * tokens * before / 1e6
         return tokens / self.speed.tokens_per_s + pairs_s
 
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/pool_sim/instance.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/pool_sim/instance.py
@@ -102,7 +102,7 @@
         load.requests += 1
         load.tight += traits.tight
         load.memory += request.prompt.memory_tokens
-        load.add_pending_prefill(rank, choice.fresh_tokens)
+        load.add_pending_prefill(rank, choice.uncached_tokens)
         load.waits.begin(rank, request, sent_at)
         choice.view.health.note_sent(sent_at)
         self.pools.note_prompt(choice.view, request.prompt)
@@ -110,14 +110,14 @@
         was_idle = False
 
         def on_first(now: float) -> None:
-            load.add_pending_prefill(rank, -choice.fresh_tokens)
+            load.add_pending_prefill(rank, -choice.uncached_tokens)
             load.waits.end(rank, request, is_served=not request.failed)
             if request.failed:
                 return
             load.take_report(engine.report(), now)
             pace.note(rank, choice.wait_s, now - sent_at)
             if choice.is_first and not choice.copy_from:
-                model.note_first(choice.fresh_tokens, now - sent_at)
+                model.note_first(choice.uncached_tokens, now - sent_at)
 
         def on_event(now: float, done: bool) -> None:
             nonlocal last_at, was_idle
--- a/packages/buckthornwall/src/buckthornwall/forwarding/account.py
+++ b/packages/buckthornwall/src/buckthornwall/forwarding/account.py
@@ -98,7 +98,7 @@
             attempt=len(job.tried),
             resumes_after=job.delivery.joiner.last_id,
             rank=job.resolution.rank,
-            fresh_tokens=choice.fresh_tokens,
+            fresh_tokens=choice.uncached_tokens,
             copy_from=choice.copy_from,
             unread_before=view.load.pending_prefill_before(job.resolution.rank),
             oldest_ms=round(choice.oldest_s * 1000),
--- a/packages/buckthornwall/src/buckthornwall/forwarding/attempt.py
+++ b/packages/buckthornwall/src/buckthornwall/forwarding/attempt.py
@@ -104,7 +104,7 @@
             return AttemptResult(AttemptEnd.NOT_SENT, error.detail)
         load = view.load
         pending_prefill = _PendingPrefill(
-            view, self.resolution.rank, self.choice.fresh_tokens, self.clock.now()
+            view, self.resolution.rank, self.choice.uncached_tokens, self.clock.now()
         )
         prompt = self.request.prompt
         memory = prompt.memory_tokens if prompt is not None else 0
--- a/packages/buckthornwall/src/buckthornwall/forwarding/forwarder.py
+++ b/packages/buckthornwall/src/buckthornwall/forwarding/forwarder.py
@@ -287,7 +287,7 @@
             seen_s = first_at - sent_at
             self.pools.pace(pool).note(job.resolution.rank, choice.wait_s, seen_s)
             if choice.is_first and not choice.copy_from:
-                self.pools.model(pool).note_first(choice.fresh_tokens, seen_s)
+                self.pools.model(pool).note_first(choice.uncached_tokens, seen_s)
 
     def _most_idle_s(self, job: Job) -> float:
         """Return how long a connection may have been idle for this request.
--- a/packages/buckthornwall/src/buckthornwall/pools/placement.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/placement.py
@@ -88,7 +88,7 @@
 class Choice:
     """An upstream, and what is expected there.
 
-    `fresh_tokens` is what it has to read of the prompt; `wait_s` the time
+    `uncached_tokens` is what it has to read of the prompt; `wait_s` the time
     until the first token by the counts alone, of which `own_s` is its own
     reading; `oldest_s` how long the oldest request that goes before it has waited
     already. `copy_from` is the address of an engine that is likely to hold more of
@@ -97,7 +97,7 @@
     """
 
     view: UpstreamView
-    fresh_tokens: int
+    uncached_tokens: int
     wait_s: float
     own_s: float
     busy_share: float
@@ -113,7 +113,7 @@
 
     cost: float
     view: UpstreamView
-    fresh_tokens: int
+    uncached_tokens: int
 
 
 def choose_engine(
@@ -152,10 +152,10 @@
     best = min(offers, key=lambda offer: offer.cost)
     load = best.view.load
     pending_prefill = load.total_pending_prefill()
-    own_s = wanted.model.read_s(best.fresh_tokens)
+    own_s = wanted.model.read_s(best.uncached_tokens)
     return Choice(
         best.view,
-        best.fresh_tokens,
+        best.uncached_tokens,
         own_s + wanted.model.read_s(load.pending_prefill_before(wanted.rank)),
         own_s,
         _busy_share(best.view, now),
@@ -163,7 +163,7 @@
         _copy_from(best.view, source, wanted.prompt),
         pending_prefill == 0,
         wanted.model.pause_s(
-            wanted.tokens_per_event, pending_prefill + best.fresh_tokens
+            wanted.tokens_per_event, pending_prefill + best.uncached_tokens
         ),
     )
 
@@ -198,24 +198,24 @@
     prompt = wanted.prompt
     shared = sum(segment.tokens for segment in prompt.segments[:-1])
     held = view.prefixes.held(prompt)
-    fresh = max(0, prompt.prompt_tokens - held)
+    uncached = max(0, prompt.prompt_tokens - held)
     missing = max(0, shared - held)
     weight = min(MOST_WEIGHT, 1 + WEIGHT_STEP * place)
     ahead_s = _ahead_s(view, wanted, now)
     if _is_full(view, prompt):
         ahead_s += FULL_S
     ahead_s -= (1 - FREE_WEIGHT) * min(ahead_s, wanted.free_wait_s)
-    cost = ahead_s + wanted.model.read_s(fresh + (weight - 1) * missing)
+    cost = ahead_s + wanted.model.read_s(uncached + (weight - 1) * missing)
     if view.entry.zone != wanted.zone:
         cost += ZONE_S
     if view.id in wanted.kept:
-        cost += _harm(view, wanted, fresh)
-    return _Offer(cost, view, fresh)
+        cost += _harm(view, wanted, uncached)
+    return _Offer(cost, view, uncached)
 
 
-def _harm(view: UpstreamView, wanted: PlacementRequest, fresh: int) -> float:
+def _harm(view: UpstreamView, wanted: PlacementRequest, uncached: int) -> float:
     """Return what a prompt does to tight streams of an engine, in seconds."""
-    pending_prefill = view.load.total_pending_prefill() + fresh
+    pending_prefill = view.load.total_pending_prefill() + uncached
     pause_s = wanted.model.pause_s(wanted.tokens_per_event, pending_prefill)
     if pause_s <= SAFE_PAUSE_SHARE * wanted.most_pause_s:
         return 0.0
--- a/packages/buckthornwall/src/buckthornwall/pools/tests/test_placement.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/tests/test_placement.py
@@ -20,11 +20,11 @@
     home = rendezvous_winner("s", ["a", "b", "c"])
     choice = choose(table, clock, prompt())
     assert choice.view.id == home
-    assert choice.fresh_tokens == 5000
+    assert choice.uncached_tokens == 5000
     table.receive_held({home: [("s", 4000)]})
     choice = choose(table, clock, prompt())
     assert choice.view.id == home
-    assert choice.fresh_tokens == 1000
+    assert choice.uncached_tokens == 1000
 
 
 def test_a_part_that_nobody_is_known_to_have_read_is_counted_in_full(table, clock):
