--- a/packages/buckthornwall-standins/src/buckthornwall_standins/peers_sim/peer.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/peers_sim/peer.py
@@ -129,7 +129,7 @@
         live = self.agent.table.whole(self.make_beacon(), now)
         live = live.live(self.address, self.zone)
         self.fleet_memory.record(live, now)
-        self.pools.rate_limits.share(live, self.fleet_memory.lately(live, now))
+        self.pools.rate_limits.update_shares(live, self.fleet_memory.lately(live, now))
 
     def _work_told(self) -> None:
         if not self.pools.views:
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/tests/test_limits_at_size.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/tests/test_limits_at_size.py
@@ -118,7 +118,7 @@
     limited = [
         peer.address
         for peer in fleet.peers.values()
-        if upstream.view(peer).rate_limit.names_limit
+        if upstream.view(peer).rate_limit.advertises_limit
     ]
     assert limited == []
 
@@ -129,4 +129,4 @@
     await trio.sleep(ALLOWANCE.grace_s)
     newcomer = fleet.start("10.1.0.99:7340", ZoneId("z1"))
     await trio.sleep(1.0)
-    assert upstream.view(newcomer).rate_limit.names_limit
+    assert upstream.view(newcomer).rate_limit.advertises_limit
--- a/packages/buckthornwall/src/buckthornwall/forwarding/forwarder.py
+++ b/packages/buckthornwall/src/buckthornwall/forwarding/forwarder.py
@@ -267,7 +267,7 @@
         if result.end in (AttemptEnd.NOT_SENT, AttemptEnd.NOT_RUN):
             job.runs -= 1
         if result.end is AttemptEnd.NOT_SENT:
-            view.rate_limit.give_back()
+            view.rate_limit.refund()
         else:
             job.arrivals += 1
         self._judge(choice, result)
--- a/packages/buckthornwall/src/buckthornwall/forwarding/tests/conftest.py
+++ b/packages/buckthornwall/src/buckthornwall/forwarding/tests/conftest.py
@@ -38,7 +38,7 @@
         client_timeout_s=None,
         limit_per_s=None,
         limited="u0",
-        own_per_s=0.0,
+        local_per_s=0.0,
     ):
         clock = TrioClock()
         table, pools = RoutingTable(), PoolTable(clock)
@@ -77,7 +77,7 @@
             pools.views[f"u{number}"].load.requests = number
         if limit_per_s is not None:
             pools.rate_limits.record(pools.views[limited], limit_per_s)
-            pools.views[limited].rate_limit.share(own_per_s, clock.now())
+            pools.views[limited].rate_limit.set_share(local_per_s, clock.now())
         settings = ForwardingSettings(retry_ratio=0.0, retry_reserve=reserve)
         quarantine = QuarantineTable(QuarantineSettings())
         subject = Forwarder(
--- a/packages/buckthornwall/src/buckthornwall/forwarding/tests/test_forwarder.py
+++ b/packages/buckthornwall/src/buckthornwall/forwarding/tests/test_forwarder.py
@@ -206,15 +206,15 @@
 async def test_a_limit_named_at_an_address_of_another_upstream_is_not_its(forward):
     misdirected = MISDIRECTED.replace(b"X-Not-Run", b"X-Limit: 2.5\r\nX-Not-Run")
     await forward([misdirected], [whole()])
-    assert not forward.pools.views["u0"].rate_limit.names_limit
+    assert not forward.pools.views["u0"].rate_limit.advertises_limit
 
 
 async def test_a_request_waits_for_a_token_that_comes_soon(forward):
-    answer = await forward([whole()], limit_per_s=40.0, own_per_s=40.0)
+    answer = await forward([whole()], limit_per_s=40.0, local_per_s=40.0)
     assert answer.status == 200
 
 
 async def test_a_request_does_not_wait_for_a_token_that_comes_too_late(forward):
-    answer = await forward([whole()], limit_per_s=1.0, own_per_s=1.0)
+    answer = await forward([whole()], limit_per_s=1.0, local_per_s=1.0)
     assert json.loads(answer.body)["code"] == 2008
     assert 1.0 <= float(answer.headers[b"Retry-After"]) <= 2.0
--- a/packages/buckthornwall/src/buckthornwall/forwarding/tests/test_limit_gate.py
+++ b/packages/buckthornwall/src/buckthornwall/forwarding/tests/test_limit_gate.py
@@ -28,9 +28,9 @@
         self.gate = LimitGate(self.pools, self.clock, self.choose)
         self.sent = []
 
-    def limit(self, own_per_s):
+    def limit(self, local_per_s):
         self.pools.rate_limits.record(self.view, 100.0)
-        self.view.rate_limit.share(own_per_s, self.clock.now())
+        self.view.rate_limit.set_share(local_per_s, self.clock.now())
 
     def choose(self, job):
         if not self.pools.usable(POOL, job.tried):
--- a/packages/buckthornwall/src/buckthornwall/pools/limit_share.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/limit_share.py
@@ -10,16 +10,16 @@
 
 from buckthornwall.utils import UpstreamId, ZoneId, rendezvous_order
 
-__all__ = ["Fleet", "NamedLimit", "own_rates"]
+__all__ = ["Fleet", "UpstreamLimit", "local_rates"]
 
 # Part of the rate that is used: instances know of each other a moment late.
 USED_SHARE = 0.9
 # An upstream that names less is sent so many requests a second nevertheless: only an
 # answer shows that it takes more again.
-LEAST_PER_S = 0.1
+MIN_PER_S = 0.1
 # After so many seconds without an answer to anybody others are drawn: those that were
 # have no requests for it.
-REDRAWN_S = 10.0
+RESELECTION_S = 10.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -38,12 +38,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class NamedLimit:
-    """An upstream takes `per_s` requests a second, and said so `said_s_ago`."""
+class UpstreamLimit:
+    """An upstream takes `per_s` requests a second, and said so `age_s` ago."""
 
     upstream: UpstreamId
     per_s: float
-    said_s_ago: float
+    age_s: float
 
     def senders(self, instances: float) -> int:
         """Return how many instances send to it."""
@@ -52,10 +52,10 @@
     @property
     def key(self) -> str:
         """What instances are drawn by."""
-        return f"{self.upstream}/{int(self.said_s_ago // REDRAWN_S)}"
+        return f"{self.upstream}/{int(self.age_s // RESELECTION_S)}"
 
 
-def own_rates(limits: list[NamedLimit], fleet: Fleet) -> dict[UpstreamId, float]:
+def local_rates(limits: list[UpstreamLimit], fleet: Fleet) -> dict[UpstreamId, float]:
     """Return how many requests a second this instance may send, 0 for most.
 
     Whoever has been drawn least often so far is drawn first, or one instance would have
@@ -68,24 +68,24 @@
     fleet
         Who is live.
     """
-    drawn = dict.fromkeys(fleet.members, 0)
+    assigned = dict.fromkeys(fleet.members, 0)
     rates = {}
     for limit in sorted(limits, key=lambda limit: limit.upstream):
         senders = limit.senders(fleet.instances)
         order = rendezvous_order(limit.key, fleet.members)
-        order.sort(key=lambda address: drawn[address])
-        chosen = order[: _count_of_zone(limit.key, senders, fleet)]
+        order.sort(key=lambda address: assigned[address])
+        chosen = order[: _local_zone_senders(limit.key, senders, fleet)]
         for address in chosen:
-            drawn[address] += 1
-        rate = USED_SHARE * max(LEAST_PER_S, limit.per_s) / senders
+            assigned[address] += 1
+        rate = USED_SHARE * max(MIN_PER_S, limit.per_s) / senders
         rates[limit.upstream] = rate if fleet.address in chosen else 0.0
     return rates
 
 
-def _count_of_zone(key: str, senders: int, fleet: Fleet) -> int:
+def _local_zone_senders(key: str, senders: int, fleet: Fleet) -> int:
     """Return how many of so many senders are of this instance's zone."""
     zones = rendezvous_order(key, fleet.zones)
     if fleet.zone not in zones:
         return 0
-    of_each, rest = divmod(senders, len(zones))
-    return of_each + (zones.index(fleet.zone) < rest)
+    per_zone, remainder = divmod(senders, len(zones))
+    return per_zone + (zones.index(fleet.zone) < remainder)
--- a/packages/buckthornwall/src/buckthornwall/pools/rate_limits.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/rate_limits.py
@@ -6,7 +6,7 @@
 from buckthornwall.telemetry import log_event
 from buckthornwall.utils import Clock, UpstreamId, hash_share
 
-from .limit_share import Fleet, NamedLimit, own_rates
+from .limit_share import Fleet, UpstreamLimit, local_rates
 from .rate_limit import UNLIMITED, LimitReports
 from .view import UpstreamView
 
@@ -35,7 +35,7 @@
         """Take the requests a second that an upstream names in an answer."""
         before = view.rate_limit.per_s
         if view.rate_limit.record_answer(per_s, self.clock.now()):
-            _log_limit(view, before, is_told=False)
+            _log_limit(view, before, is_from_peer=False)
 
     def receive(self, reports: LimitReports) -> None:
         """Take what other instances know of the limits that upstreams name."""
@@ -46,7 +46,7 @@
                 continue
             before = view.rate_limit.per_s
             if view.rate_limit.receive(report, now):
-                _log_limit(view, before, is_told=True)
+                _log_limit(view, before, is_from_peer=True)
 
     def reports(self) -> LimitReports:
         """Return what others are told of the limits that upstreams name."""
@@ -66,7 +66,7 @@
         """Take what an upstream's registration says of its being cold."""
         self._set_cold_rate(view)
         if view.entry.cold_s:
-            self._cool(view, view.entry.cold_s)
+            self._mark_cold(view, view.entry.cold_s)
 
     def assume_cold(self, views: Iterable[UpstreamView]) -> None:
         """Take upstreams to be cold that start, or that get requests again.
@@ -76,18 +76,18 @@
         for view in views:
             pool = self._pools.get(view.entry.pool)
             if pool is not None and pool.cold_per_s:
-                self._cool(view, pool.cold_s)
+                self._mark_cold(view, pool.cold_s)
 
     def _set_cold_rate(self, view: UpstreamView) -> None:
         pool = self._pools.get(view.entry.pool)
-        bears_any = pool is None or not pool.cold_per_s
-        view.rate_limit.cold_per_s = UNLIMITED if bears_any else pool.cold_per_s
+        is_unlimited = pool is None or not pool.cold_per_s
+        view.rate_limit.cold_per_s = UNLIMITED if is_unlimited else pool.cold_per_s
 
-    def _cool(self, view: UpstreamView, seconds: float) -> None:
+    def _mark_cold(self, view: UpstreamView, seconds: float) -> None:
         """Take an upstream to be cold from now on, for so many seconds."""
         now = self.clock.now()
         was_cold = view.rate_limit.is_cold(now)
-        view.rate_limit.cool(now + seconds, now)
+        view.rate_limit.mark_cold(now + seconds, now)
         if view.rate_limit.is_cold(now) and not was_cold:
             log_event(
                 "upstream_cold",
@@ -98,32 +98,34 @@
 
     # What this instance may send
 
-    def share(self, live: Fleet, lately: Fleet) -> None:
+    def update_shares(self, live: Fleet, recent: Fleet) -> None:
         """Find the part of this instance in what upstreams take.
 
         Parameters
         ----------
         live
             Who is live; they share what upstreams name.
-        lately
+        recent
             Who was live lately, those out of touch too; they share what cold upstreams
             bear.
         """
         now = self.clock.now()
-        rates = self._named_rates(live, now)
-        for upstream, rate in self._cold_rates(lately, now).items():
+        rates = self._advertised_rates(live, now)
+        for upstream, rate in self._cold_rates(recent, now).items():
             rates[upstream] = min(rate, rates.get(upstream, rate))
         for upstream, rate in rates.items():
             first_token = hash_share(f"{live.address}/{upstream}")
-            self.views[upstream].rate_limit.share(rate, now, first_token)
+            self.views[upstream].rate_limit.set_share(rate, now, first_token)
 
-    def _named_rates(self, fleet: Fleet, now: float) -> dict[UpstreamId, float]:
+    def _advertised_rates(self, fleet: Fleet, now: float) -> dict[UpstreamId, float]:
         limits = [
-            NamedLimit(view.id, view.rate_limit.per_s, now - view.rate_limit.said_at)
+            UpstreamLimit(
+                view.id, view.rate_limit.per_s, now - view.rate_limit.advertised_at
+            )
             for view in self.views.values()
-            if view.rate_limit.names_limit
+            if view.rate_limit.advertises_limit
         ]
-        return own_rates(limits, fleet)
+        return local_rates(limits, fleet)
 
     def _cold_rates(self, fleet: Fleet, now: float) -> dict[UpstreamId, float]:
         """Return the parts at cold upstreams, found one by one.
@@ -133,17 +135,17 @@
         rates: dict[UpstreamId, float] = {}
         for view in self.views.values():
             if view.rate_limit.is_cold(now):
-                limit = NamedLimit(view.id, view.rate_limit.cold_per_s, 0.0)
-                rates |= own_rates([limit], fleet)
+                limit = UpstreamLimit(view.id, view.rate_limit.cold_per_s, 0.0)
+                rates |= local_rates([limit], fleet)
         return rates
 
 
-def _log_limit(view: UpstreamView, before: float, is_told: bool) -> None:
+def _log_limit(view: UpstreamView, before: float, is_from_peer: bool) -> None:
     log_event(
         "upstream_limit",
         "WARNING",
         upstream=view.id,
         per_s=view.rate_limit.per_s,
         before=before,
-        told=is_told,
+        told=is_from_peer,
     )
--- a/packages/buckthornwall/src/buckthornwall/pools/table.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/table.py
@@ -291,7 +291,7 @@
         Infinite where this instance has no part.
         """
         ready = self._ready(pool, frozenset(), regions)
-        per_s = sum(view.rate_limit.own_per_s for view in ready)
+        per_s = sum(view.rate_limit.local_per_s for view in ready)
         return 1 / per_s if per_s else math.inf
 
     def unreachable(self) -> list[UpstreamId]:
--- a/packages/buckthornwall/src/buckthornwall/pools/tests/test_cold.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/tests/test_cold.py
@@ -58,14 +58,14 @@
 
 
 def test_who_has_a_part_sends_no_more_than_it(pools, clock):
-    pools.rate_limits.share(ALONE, ALONE)
+    pools.rate_limits.update_shares(ALONE, ALONE)
     assert 0.8 * PER_S * 2 <= sent_to_cold(pools, clock, 2.0) <= PER_S * 2
 
 
 def test_a_part_begins_before_a_whole_token_has_come(pools, clock):
     """Of 3 s that an upstream is cold nobody used the first one."""
     limit = pools.views["cold"].rate_limit
-    limit.share(1.0, clock.now(), 0.9)
+    limit.set_share(1.0, clock.now(), 0.9)
     clock.time += 0.2
     assert limit.may_send(clock.now())
 
@@ -90,8 +90,8 @@
 def test_a_limit_that_it_names_holds_beside(pools, clock):
     view = pools.views["cold"]
     pools.rate_limits.record(view, 1.0)
-    pools.rate_limits.share(ALONE, ALONE)
-    assert view.rate_limit.own_per_s < 1.0
+    pools.rate_limits.update_shares(ALONE, ALONE)
+    assert view.rate_limit.local_per_s < 1.0
     clock.time += 3.1
     assert view.rate_limit.is_limited(clock.now())
 
@@ -104,7 +104,7 @@
 
 
 def test_streams_that_may_not_pause_leave_cold_upstreams_to_others(pools, clock):
-    pools.rate_limits.share(ALONE, ALONE)
+    pools.rate_limits.update_shares(ALONE, ALONE)
     clock.time += 1.0
     pools.views["warm"].load.requests = 30
     stream = traits(prompt("", shared_tokens=0, own_tokens=100), tight=True)
--- a/packages/buckthornwall/src/buckthornwall/pools/tests/test_limited_pool.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/tests/test_limited_pool.py
@@ -21,10 +21,10 @@
     return pools
 
 
-def limit(pools, name, own_per_s):
+def limit(pools, name, local_per_s):
     view = pools.views[name]
     pools.rate_limits.record(view, 1.0)
-    view.rate_limit.share(own_per_s, pools.clock.now())
+    view.rate_limit.set_share(local_per_s, pools.clock.now())
 
 
 def names(pools):
--- a/packages/buckthornwall/src/buckthornwall/pools/tests/test_rate_limit.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/tests/test_rate_limit.py
@@ -36,33 +36,33 @@
 
 
 def test_who_gets_a_part_sends_no_more_than_it(limit):
-    limit.share(0.9, NOW)
+    limit.set_share(0.9, NOW)
     assert sent(limit, NOW, 100.0) == pytest.approx(90, abs=1)
 
 
 def test_what_was_not_used_does_not_come_at_once(limit):
-    limit.share(0.9, NOW)
+    limit.set_share(0.9, NOW)
     assert sent(limit, NOW + 1000, 0.01) == 1
 
 
 def test_of_a_high_rate_a_quarter_of_a_second_may_come_at_once(limit):
     limit.record_answer(100.0, NOW)
-    limit.share(80.0, NOW)
+    limit.set_share(80.0, NOW)
     assert sent(limit, NOW + 10, 0.02, step=0.0001) == 20 + 1
 
 
 def test_who_loses_its_part_begins_again_without_a_token(limit):
-    limit.share(0.9, NOW)
-    limit.share(0.0, NOW + 5)
-    limit.share(0.9, NOW + 6)
+    limit.set_share(0.9, NOW)
+    limit.set_share(0.0, NOW + 5)
+    limit.set_share(0.9, NOW + 6)
     assert not limit.may_send(NOW + 7)
     assert limit.may_send(NOW + 7.2)
 
 
 def test_a_request_that_did_not_arrive_does_not_count(limit):
-    limit.share(0.9, NOW)
+    limit.set_share(0.9, NOW)
     limit.take(NOW + 5)
-    limit.give_back()
+    limit.refund()
     assert limit.may_send(NOW + 5)
 
 
--- a/packages/buckthornwall/src/buckthornwall/router/operators.py
+++ b/packages/buckthornwall/src/buckthornwall/router/operators.py
@@ -47,7 +47,7 @@
         ),
         "upstreams_limited": (
             "Upstreams that take only so many requests a second.",
-            sum(1 for view in views if view.rate_limit.names_limit),
+            sum(1 for view in views if view.rate_limit.advertises_limit),
         ),
         "zones_evacuated": (
             "Availability zones that get no new requests.",
@@ -118,7 +118,7 @@
                 "unread_tokens": view.load.total_pending_prefill(),
                 "limit_per_s": _finite(view.rate_limit.per_s),
                 "cold_s": round(view.cold_s(now), 3),
-                "own_part_per_s": round(view.rate_limit.own_per_s, 3),
+                "own_part_per_s": round(view.rate_limit.local_per_s, 3),
             }
             for view in router.pools.views.values()
         },
