--- a/packages/buckthornwall-standins/src/buckthornwall_standins/peers_sim/__init__.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/peers_sim/__init__.py
@@ -2,7 +2,7 @@
 
 ============= ============================================================
 `network`     datagrams and views in memory, cut, lost or late
-`peer`        one instance: the product's peers, discovery and news exchange
+`peer`        one instance: the product's peers, discovery and state synchronisation
 `simulation`  zones of instances before a store that changes all the time
 `word_age`    how old what instances know of each other's work is, at what cost
 `soak`        faults drawn by a seed, and how far behind they leave whom
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/peers_sim/network.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/peers_sim/network.py
@@ -113,4 +113,4 @@
         await trio.sleep(2 * DELAY_S)
         if address not in self.network.sockets:
             raise PeerError(ResultCode.PEER_MESSAGE, "refused")
-        return self.peers[address].news.view()
+        return self.peers[address].state_sync.view()
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/peers_sim/peer.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/peers_sim/peer.py
@@ -1,14 +1,14 @@
-"""One simulated instance: the product's peers, discovery and news exchange."""
+"""One simulated instance: the product's peers, discovery and state synchronisation."""
 
 from typing import TYPE_CHECKING
 
 import trio
 from buckthornwall.codes import PeerError, ResultCode
-from buckthornwall.discovery import DiscoveryAgent, DiscoverySettings, News
+from buckthornwall.discovery import DiscoveryAgent, DiscoverySettings, StoreUpdate
 from buckthornwall.peers import Beacon, PeerAgent, PeerSettings, PeerState
 from buckthornwall.pools import FleetMemory, PoolTable
 from buckthornwall.quarantine import QuarantineSettings, QuarantineTable
-from buckthornwall.router.news import NewsExchange
+from buckthornwall.router.state_sync import StateSync
 from buckthornwall.routing import Pool, PoolId, Published, RoutingTable
 from buckthornwall.utils import Incarnation, NodeId, TrioClock, ZoneId
 
@@ -31,7 +31,7 @@
 SIM_POOL = Pool(PoolId("p"), "/", 10, cold_s=3.0, cold_per_s=9.7)
 
 
-class SimFeed:
+class SimUpdateSource:
     """The store as one instance reaches it; a change is a number or a record."""
 
     def __init__(self, simulation: "PeersSimulation", address: str) -> None:
@@ -39,27 +39,27 @@
         self.address = address
         self.calls = 0
 
-    async def read_all(self) -> News:
+    async def read_all(self) -> StoreUpdate:
         """Return the newest change."""
-        return await self._answer(whole=True)
+        return await self._answer(is_snapshot=True)
 
-    async def watch(self, after: int, wait_s: float) -> News:
+    async def watch(self, after: int, wait_s: float) -> StoreUpdate:
         """Return what changed after a number, waiting for it if need be."""
         with trio.move_on_after(wait_s):
             while self.simulation.number <= after:
                 await self.simulation.changed.wait()
-        return await self._answer(whole=False)
+        return await self._answer(is_snapshot=False)
 
-    async def _answer(self, whole: bool) -> News:
+    async def _answer(self, is_snapshot: bool) -> StoreUpdate:
         self.calls += 1
         if self.address in self.simulation.without_store:
             await trio.sleep(STORE_SILENCE_S)
             raise PeerError(ResultCode.PLATFORM_UNREACHABLE, "no answer in time")
         await trio.sleep(STORE_DELAY_S)
         number = self.simulation.number
-        return News(
+        return StoreUpdate(
             number,
-            whole,
+            is_snapshot,
             number,
             b"%d" % number,
             self.simulation.registrations(),
@@ -90,11 +90,11 @@
         self.state = PeerState.JOINING
         self.behind_s = 0.0
         self.scope = trio.CancelScope()
-        self.feed = SimFeed(simulation, address)
+        self.source = SimUpdateSource(simulation, address)
         self.pools = PoolTable(self.clock)
         self.discovery = DiscoveryAgent(
             DiscoverySettings(),
-            self.feed,
+            self.source,
             decode_number,
             RoutingTable(),
             self.pools,
@@ -108,17 +108,17 @@
         )
         self.agent.open_socket = self._open_socket
         views = SimViews(simulation.network, simulation.peers, address)
-        self.news = NewsExchange(
+        self.state_sync = StateSync(
             self.discovery, self.agent.table, self.make_beacon, views, self.clock
         )
-        self.discovery.may_read = self.news.may_read
-        self.discovery.on_change = self._news_adopted
+        self.discovery.may_read = self.state_sync.may_read
+        self.discovery.on_change = self._update_adopted
         self.agent.on_work = self._work_told
 
     async def _open_socket(self, address: str) -> SimSocket:
         return SimSocket(self.simulation.network, address)
 
-    def _news_adopted(self) -> None:
+    def _update_adopted(self) -> None:
         if self.state is PeerState.JOINING:
             self.state = PeerState.READY
         self.share_limits()
@@ -148,7 +148,7 @@
             state=self.state,
             number=self.discovery.table.number,
             change_revision=self.discovery.change_revision,
-            read_age_ms=self.news.read_age_ms(),
+            read_age_ms=self.state_sync.read_age_ms(),
             unbroken_ms=int(self.discovery.unbroken_s() * 1000),
             loads=self.simulation.make_loads(self.address),
             held=self.simulation.make_held(self.address),
@@ -172,7 +172,7 @@
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(self.agent.run)
                 nursery.start_soon(self.discovery.run)
-                nursery.start_soon(self.news.run)
+                nursery.start_soon(self.state_sync.run)
                 nursery.start_soon(self._keep_house)
                 await self._look()
 
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/peers_sim/soak.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/peers_sim/soak.py
@@ -194,7 +194,7 @@
         f"{peer.address} is {behind_s:.2f} s behind: speaks={peer.speaks} "
         f"speaker={peer.agent.table.speaker_address(now)} "
         f"staleness_s={peer.agent.table.staleness_s(now):.2f} "
-        f"may_read={peer.news.may_read()} "
+        f"may_read={peer.state_sync.may_read()} "
         f"read_s_ago={now - peer.discovery.read_at:.2f} away={peer.discovery.is_away} "
         f"number={peer.discovery.table.number} told={told.number} "
         f"informed={told.informed}"
--- a/packages/buckthornwall/src/buckthornwall/discovery/agent.py
+++ b/packages/buckthornwall/src/buckthornwall/discovery/agent.py
@@ -1,4 +1,4 @@
-"""The task that reads a source and puts its news in force."""
+"""The task that reads a source and applies its updates."""
 
 import math
 from collections.abc import Callable
@@ -17,7 +17,7 @@
     UpstreamId,
 )
 
-from .news import Feed, HistoryLost, News
+from .updates import HistoryLost, StoreUpdate, UpdateSource
 
 __all__ = ["DiscoveryAgent", "DiscoverySettings"]
 
@@ -62,9 +62,9 @@
 
 
 class DiscoveryAgent:
-    """Keeps routes and upstreams as the newest news says.
+    """Keeps routes and upstreams as the newest update says.
 
-    Where `may_read` says so, others read, and their news is adopted.
+    Where `may_read` says so, others read, and their updates are adopted.
 
     While the source is away nothing changes here. Registrations run out during
     an outage although their upstreams live, so what is missing after one is
@@ -74,7 +74,7 @@
     ----------
     settings
         The ``[discovery]`` section.
-    feed
+    source
         The source.
     decode
         Reads the operator's configuration.
@@ -87,14 +87,14 @@
     def __init__(
         self,
         settings: DiscoverySettings,
-        feed: Feed,
+        source: UpdateSource,
         decode: Callable[[bytes], Published],
         table: RoutingTable,
         pools: PoolTable,
         clock: Clock,
     ) -> None:
         self.settings = settings
-        self.feed = feed
+        self.source = source
         self.decode = decode
         self.table = table
         self.pools = pools
@@ -124,7 +124,7 @@
             await self._until_reading()
             started = self.clock.now()
             try:
-                news = await self._next(need_all)
+                update = await self._next(need_all)
             except HistoryLost:
                 self.on_call(self.clock.now() - started, "history_lost")
                 log_event("history_lost", "WARNING", revision=self.revision)
@@ -139,7 +139,7 @@
             self.record_answer()
             backoff.reset()
             need_all = False
-            self.adopt(news)
+            self.adopt(update)
             self.settle()
             await trio.sleep(self.settings.gap_ms / MS_PER_S)
 
@@ -155,10 +155,10 @@
             await trio.sleep(LOOK_S)
         self.answered_at = self._unbroken_since = self.clock.now()
 
-    async def _next(self, need_all: bool) -> News:
+    async def _next(self, need_all: bool) -> StoreUpdate:
         if need_all:
-            return await self.feed.read_all()
-        return await self.feed.watch(self.revision, self.watch_s())
+            return await self.source.read_all()
+        return await self.source.watch(self.revision, self.watch_s())
 
     def watch_s(self) -> float:
         """Return how long the next watch may wait, in seconds."""
@@ -191,39 +191,39 @@
             log_event("store_regained", away_ms=away_ms, revision=self.revision)
         self.answered_at = self.read_at = now
 
-    def adopt(self, news: News) -> None:
-        """Put news in force."""
-        if news.published is not None:
-            self._adopt_published(news.published)
-        self._adopt_entries(news)
-        gone = set(news.removed)
-        if news.whole:
-            gone |= set(self.pools.views) - set(news.entries)
+    def adopt(self, update: StoreUpdate) -> None:
+        """Apply an update."""
+        if update.published is not None:
+            self._adopt_published(update.published)
+        self._adopt_entries(update)
+        gone = set(update.removed)
+        if update.is_snapshot:
+            gone |= set(self.pools.views) - set(update.entries)
         if self.clock.now() < self._doubt_until:
             self._doubted |= gone
         else:
             self._remove(gone)
-        self._adopt_zones(news)
-        self.revision = max(self.revision, news.revision)
-        self.change_revision = max(self.change_revision, news.change_revision)
+        self._adopt_zones(update)
+        self.revision = max(self.revision, update.revision)
+        self.change_revision = max(self.change_revision, update.change_revision)
         self.read_once = True
         self.pools.set_contracts(self.table.pools.values(), self.table.routes)
         self.on_change()
 
-    def _adopt_entries(self, news: News) -> None:
+    def _adopt_entries(self, update: StoreUpdate) -> None:
         """Put registrations in force; what is new here may have just started.
 
         That does not hold of what an instance finds when it starts itself.
         """
         known = set(self.pools.views)
         restarted = set()
-        for entry in news.entries.values():
+        for entry in update.entries.values():
             self._doubted.discard(entry.id)
             if self.pools.adopt(entry):
                 restarted.add(entry.id)
                 self.on_restart(entry.id)
         if self.read_once:
-            started = (news.entries.keys() - known) | restarted
+            started = (update.entries.keys() - known) | restarted
             self.pools.rate_limits.assume_cold(
                 self.pools.views[name] for name in started
             )
@@ -245,10 +245,10 @@
                 teams=len(published.teams),
             )
 
-    def _adopt_zones(self, news: News) -> None:
+    def _adopt_zones(self, update: StoreUpdate) -> None:
         """Put in force which zones are evacuated, as far as it is newer."""
         evacuations = self.pools.evacuations
-        for zone, revision in news.evacuated.items():
+        for zone, revision in update.evacuated.items():
             if not self.pools.knows_zone(zone):
                 log_event(
                     "evacuation_refused",
@@ -261,14 +261,14 @@
                 log_event("zone_evacuated", "WARNING", zone=zone, revision=revision)
         reopened = [
             zone
-            for zone, revision in news.reopened.items()
+            for zone, revision in update.reopened.items()
             if evacuations.record(zone, revision, False)
         ]
-        if news.whole:
-            present = news.evacuated.keys() | news.unreadable_zones
-            reopened += evacuations.record_absent(present, news.revision)
+        if update.is_snapshot:
+            present = update.evacuated.keys() | update.unreadable_zones
+            reopened += evacuations.record_absent(present, update.revision)
         for zone in reopened:
-            log_event("zone_reopened", "WARNING", zone=zone, revision=news.revision)
+            log_event("zone_reopened", "WARNING", zone=zone, revision=update.revision)
             self.pools.rate_limits.assume_cold(self.pools.of_zone(zone))
 
     def unbroken_s(self) -> float:
--- a/packages/buckthornwall/src/buckthornwall/discovery/tests/test_agent.py
+++ b/packages/buckthornwall/src/buckthornwall/discovery/tests/test_agent.py
@@ -1,10 +1,10 @@
-"""Tests of what an instance does with news, and with their absence."""
+"""Tests of what an instance does with updates, and without them."""
 
 import pytest
 import trio
 
 from buckthornwall.codes import PeerError, RecordError, ResultCode
-from buckthornwall.discovery import DiscoveryAgent, DiscoverySettings, News
+from buckthornwall.discovery import DiscoveryAgent, DiscoverySettings, StoreUpdate
 from buckthornwall.pools import PoolTable, UpstreamEntry, UpstreamState
 from buckthornwall.routing import Pool, PoolId, Published, RoutingTable
 from buckthornwall.utils import TrioClock, UpstreamId, ZoneId
@@ -16,9 +16,13 @@
     return UpstreamEntry(UpstreamId(name), POOL, "10.0.0.1:80", ZoneId("z"), 4, state)
 
 
-def news(revision: int, *names: str, whole=False, removed=(), published=None) -> News:
+def update(
+    revision: int, *names: str, is_snapshot=False, removed=(), published=None
+) -> StoreUpdate:
     entries = {UpstreamId(name): entry(name) for name in names}
-    return News(revision, whole, revision, published, entries, set(removed))
+    return StoreUpdate(
+        revision, is_snapshot, revision, published, entries, set(removed)
+    )
 
 
 def decode(raw: bytes) -> Published:
@@ -42,36 +46,36 @@
 
 
 def test_an_older_configuration_never_comes_back(agent):
-    agent.adopt(news(1, published=b"7"))
-    agent.adopt(news(2, published=b"6"))
+    agent.adopt(update(1, published=b"7"))
+    agent.adopt(update(2, published=b"6"))
     assert agent.table.number == 7
 
 
 def test_a_malformed_configuration_leaves_the_one_in_force(agent):
-    agent.adopt(news(1, published=b"7"))
-    agent.adopt(news(2, published=b"{"))
+    agent.adopt(update(1, published=b"7"))
+    agent.adopt(update(2, published=b"{"))
     assert agent.table.number == 7
 
 
 def test_a_removed_upstream_goes_at_once(agent):
-    agent.adopt(news(1, "a", "b", whole=True))
-    agent.adopt(news(2, removed=["a"]))
+    agent.adopt(update(1, "a", "b", is_snapshot=True))
+    agent.adopt(update(2, removed=["a"]))
     assert list(agent.pools.views) == ["b"]
 
 
 def test_what_a_whole_read_lacks_is_gone(agent):
-    agent.adopt(news(1, "a", "b", whole=True))
-    agent.adopt(news(2, "b", whole=True))
+    agent.adopt(update(1, "a", "b", is_snapshot=True))
+    agent.adopt(update(2, "b", is_snapshot=True))
     assert list(agent.pools.views) == ["b"]
 
 
 def test_what_ran_out_in_an_outage_may_come_back(agent, clock):
-    agent.adopt(news(1, "a", "b", whole=True))
+    agent.adopt(update(1, "a", "b", is_snapshot=True))
     away_for(agent, clock, 5.0)
-    agent.adopt(news(2, removed=["a", "b"]))
+    agent.adopt(update(2, removed=["a", "b"]))
     assert set(agent.pools.views) == {"a", "b"}
     clock.time += 1.0
-    agent.adopt(news(3, "a"))
+    agent.adopt(update(3, "a"))
     clock.time += 2.0
     agent.settle()
     assert list(agent.pools.views) == ["a"]
@@ -79,42 +83,42 @@
 
 def test_a_removal_long_after_an_outage_counts_at_once(agent, clock):
     """An upstream that leaves 0.8 s after an outage must get no new work."""
-    agent.adopt(news(1, "a", "b", whole=True))
+    agent.adopt(update(1, "a", "b", is_snapshot=True))
     away_for(agent, clock, 9.0)
-    agent.adopt(news(2))
+    agent.adopt(update(2))
     clock.time += 0.8
-    agent.adopt(news(3, removed=["a"]))
+    agent.adopt(update(3, removed=["a"]))
     assert list(agent.pools.views) == ["b"]
 
 
 def test_who_was_cut_off_alone_believes_removals_at_once(agent, clock):
     """The store answered others all the while, so nothing ran out meanwhile."""
-    agent.adopt(news(1, "a", "b", whole=True))
+    agent.adopt(update(1, "a", "b", is_snapshot=True))
     away_for(agent, clock, 5.0)
-    agent.adopt(news(2, removed=["a"]))
+    agent.adopt(update(2, removed=["a"]))
     agent.hear_unbroken(30.0)
     assert agent.watch_s() == 0.0
-    agent.adopt(news(2))
+    agent.adopt(update(2))
     agent.settle()
     assert list(agent.pools.views) == ["b"]
-    agent.adopt(news(3, removed=["b"]))
+    agent.adopt(update(3, removed=["b"]))
     assert not agent.pools.views
 
 
 def test_what_registered_again_is_heard_before_removals_are_believed(agent, clock):
-    agent.adopt(news(1, "a", whole=True))
+    agent.adopt(update(1, "a", is_snapshot=True))
     away_for(agent, clock, 5.0)
-    agent.adopt(news(2, removed=["a"]))
+    agent.adopt(update(2, removed=["a"]))
     agent.hear_unbroken(9.0)
-    agent.adopt(news(3, "a"))
+    agent.adopt(update(3, "a"))
     agent.settle()
     assert list(agent.pools.views) == ["a"]
 
 
 def test_others_that_saw_the_same_outage_settle_nothing_early(agent, clock):
-    agent.adopt(news(1, "a", whole=True))
+    agent.adopt(update(1, "a", is_snapshot=True))
     away_for(agent, clock, 5.0)
-    agent.adopt(news(2, removed=["a"]))
+    agent.adopt(update(2, removed=["a"]))
     agent.hear_unbroken(0.3)
     clock.time += 1.8
     agent.hear_unbroken(2.1)
@@ -144,18 +148,18 @@
 
 
 def test_watches_are_short_while_removals_are_doubted(agent, clock):
-    agent.adopt(news(1, "a", whole=True))
+    agent.adopt(update(1, "a", is_snapshot=True))
     assert agent.watch_s() == pytest.approx(1.5)
     away_for(agent, clock, 5.0)
-    agent.adopt(news(2, removed=["a"]))
+    agent.adopt(update(2, removed=["a"]))
     assert agent.watch_s() == pytest.approx(0.3)
     clock.time += 2.0
     assert agent.watch_s() == pytest.approx(0.2)
 
 
 def test_only_changes_move_the_mark(agent):
-    agent.adopt(news(5, "a", whole=True))
-    agent.adopt(News(revision=9, whole=False))
+    agent.adopt(update(5, "a", is_snapshot=True))
+    agent.adopt(StoreUpdate(revision=9, is_snapshot=False))
     assert (agent.revision, agent.change_revision) == (9, 5)
 
 
@@ -165,12 +169,12 @@
     """It kept an upstream that had ended for 4 to 6 s longer than those that read."""
     pools, table = PoolTable(TrioClock()), RoutingTable()
     agent = DiscoveryAgent(DiscoverySettings(), None, decode, table, pools, TrioClock())
-    agent.adopt(news(1, "a", "b", whole=True))
+    agent.adopt(update(1, "a", "b", is_snapshot=True))
     agent.record_answer()
     await trio.sleep(3.0)
     agent.note_failure(PeerError(ResultCode.PLATFORM_UNREACHABLE, "reset"))
     agent.record_answer()
-    agent.adopt(news(2, "b", whole=True))
+    agent.adopt(update(2, "b", is_snapshot=True))
     assert set(pools.views) == {"a", "b"}
     agent.may_read = lambda: False
     nursery.start_soon(agent.run)
@@ -179,8 +183,10 @@
     nursery.cancel_scope.cancel()
 
 
-def zones(revision: int, whole=False, **more) -> News:
-    return News(revision, whole, revision, entries={"a": entry("a")}, **more)
+def zones(revision: int, is_snapshot=False, **more) -> StoreUpdate:
+    return StoreUpdate(
+        revision, is_snapshot, revision, entries={"a": entry("a")}, **more
+    )
 
 
 def test_a_zone_is_evacuated_until_its_record_is_removed(agent):
@@ -192,11 +198,11 @@
 
 def test_a_whole_read_without_a_record_reopens_its_zone(agent):
     agent.adopt(zones(5, evacuated={"z": 5}))
-    agent.adopt(zones(4, whole=True))
+    agent.adopt(zones(4, is_snapshot=True))
     assert agent.pools.evacuations.zones() == {"z": 5}
-    agent.adopt(zones(6, whole=True, unreadable_zones={"z"}))
+    agent.adopt(zones(6, is_snapshot=True, unreadable_zones={"z"}))
     assert agent.pools.evacuations.zones() == {"z": 5}
-    agent.adopt(zones(7, whole=True))
+    agent.adopt(zones(7, is_snapshot=True))
     assert agent.pools.evacuations.zones() == {}
 
 
@@ -220,7 +226,7 @@
 def cold_agent(agent):
     """Return an agent that found one upstream when it started."""
     agent.decode = cold_decode
-    agent.adopt(news(1, "a", whole=True, published=b"1"))
+    agent.adopt(update(1, "a", is_snapshot=True, published=b"1"))
     return agent
 
 
@@ -230,10 +236,10 @@
 
 def test_an_upstream_that_appears_later_is_assumed_cold(cold_agent, clock):
     """Its record may not say so yet."""
-    cold_agent.adopt(news(2, "b"))
+    cold_agent.adopt(update(2, "b"))
     assert cold(cold_agent) == {"b"}
     clock.time += 3.1
-    cold_agent.adopt(news(3, "b"))
+    cold_agent.adopt(update(3, "b"))
     assert cold(cold_agent) == set()
 
 
--- a/packages/buckthornwall/src/buckthornwall/discovery/news.py
+++ b/packages/buckthornwall/src/buckthornwall/discovery/updates.py
@@ -6,7 +6,7 @@
 from buckthornwall.pools import UpstreamEntry
 from buckthornwall.utils import UpstreamId, ZoneId
 
-__all__ = ["Feed", "HistoryLost", "News"]
+__all__ = ["UpdateSource", "HistoryLost", "StoreUpdate"]
 
 
 class HistoryLost(Exception):
@@ -14,10 +14,10 @@
 
 
 @dataclass(slots=True)
-class News:
+class StoreUpdate:
     """What changed up to a revision.
 
-    `whole` tells that everything there is stands here, so that what does not
+    `is_snapshot` tells that everything there is stands here, so that what does not
     is gone. A watch from `revision` brings what changes later; `change_revision` is the
     revision of the newest change among these, which is lower where others wrote
     meanwhile. `published` is the operator's configuration as it was written.
@@ -26,7 +26,7 @@
     """
 
     revision: int
-    whole: bool
+    is_snapshot: bool
     change_revision: int = 0
     published: bytes | None = None
     entries: dict[UpstreamId, UpstreamEntry] = field(default_factory=dict)
@@ -36,10 +36,10 @@
     unreadable_zones: set[ZoneId] = field(default_factory=set)
 
 
-class Feed(Protocol):
+class UpdateSource(Protocol):
     """A source of news."""
 
-    async def read_all(self) -> News:
+    async def read_all(self) -> StoreUpdate:
         """Return everything there is.
 
         Raises
@@ -48,7 +48,7 @@
             If the source does not answer as it should.
         """
 
-    async def watch(self, after: int, wait_s: float) -> News:
+    async def watch(self, after: int, wait_s: float) -> StoreUpdate:
         """Return what changed after a revision, waiting for it if need be.
 
         Raises
--- a/packages/buckthornwall/src/buckthornwall/forwarding/account.py
+++ b/packages/buckthornwall/src/buckthornwall/forwarding/account.py
@@ -30,7 +30,7 @@
         self.metrics = metrics
         self.clock = clock
         # Pairs of a line that tell what a request without a route was judged by.
-        self.describe_news: Callable[[], dict[str, object]] = dict
+        self.describe_freshness: Callable[[], dict[str, object]] = dict
 
     def refused(
         self, request_id: str, job: Job | None, refusal: Refusal, status: int
@@ -65,7 +65,7 @@
     def _describe(self, job: Job | None) -> dict[str, object]:
         """Return the pairs of a log line that tell a request's way."""
         if job is None:
-            return self.describe_news()
+            return self.describe_freshness()
         now = self.clock.now()
         first_at = job.delivery.first_at
         choice = job.last_choice
--- a/packages/buckthornwall/src/buckthornwall/platform/store.py
+++ b/packages/buckthornwall/src/buckthornwall/platform/store.py
@@ -7,7 +7,7 @@
 import trio
 
 from buckthornwall.codes import PeerError, RecordError, ResultCode
-from buckthornwall.discovery import Feed, News
+from buckthornwall.discovery import StoreUpdate, UpdateSource
 from buckthornwall.http1 import ClientConnection, ExchangeError
 from buckthornwall.pools import UpstreamEntry, UpstreamState
 from buckthornwall.routing import PoolId
@@ -16,7 +16,7 @@
 
 from .calls import Changes, StoreAnswer, StoreCalls, StoredValue
 
-__all__ = ["StoreClient", "StoreSettings", "news_of"]
+__all__ = ["StoreClient", "StoreSettings", "to_store_update"]
 
 CONFIG_KEY = "op/config"
 REGISTRATIONS = "servers/"
@@ -65,7 +65,7 @@
     born: int | float | str = ""
 
 
-class StoreClient(Feed):
+class StoreClient(UpdateSource):
     """Reads and watches over one connection that is kept.
 
     Parameters
@@ -90,7 +90,7 @@
         if connection is not None:
             connection.close()
 
-    async def read_all(self) -> News:
+    async def read_all(self) -> StoreUpdate:
         """Return all that is published now.
 
         Raises
@@ -98,9 +98,9 @@
         PeerError
             If the store does not answer as it should.
         """
-        return news_of(await self.store.read_all(EVERYTHING), whole=True)
+        return to_store_update(await self.store.read_all(EVERYTHING), is_snapshot=True)
 
-    async def watch(self, after: int, wait_s: float) -> News:
+    async def watch(self, after: int, wait_s: float) -> StoreUpdate:
         """Return what changed after a revision, waiting for it if need be.
 
         Raises
@@ -110,7 +110,9 @@
         PeerError
             If the store does not answer as it should.
         """
-        return news_of(await self.store.watch(EVERYTHING, after, wait_s), whole=False)
+        return to_store_update(
+            await self.store.watch(EVERYTHING, after, wait_s), is_snapshot=False
+        )
 
     async def _call(self, target: str, wait_s: float) -> StoreAnswer:
         limit_s = wait_s + self.settings.answer_timeout_ms / MS_PER_S
@@ -151,46 +153,46 @@
         return StoreAnswer(head.status, bytes(body))
 
 
-def news_of(changes: Changes, whole: bool) -> News:
-    """Return values of the store as news.
+def to_store_update(changes: Changes, is_snapshot: bool) -> StoreUpdate:
+    """Return values of the store as an update.
 
     A registration that cannot be read names nobody; the others hold.
     """
-    news = News(revision=changes.revision, whole=whole)
+    update = StoreUpdate(revision=changes.revision, is_snapshot=is_snapshot)
     for each in changes.values:
-        _add(news, each)
-    return news
+        _add(update, each)
+    return update
 
 
-def _add(news: News, change: StoredValue) -> None:
+def _add(update: StoreUpdate, change: StoredValue) -> None:
     """Put one value into the product's words."""
-    news.change_revision = max(news.change_revision, change.revision)
+    update.change_revision = max(update.change_revision, change.revision)
     if change.key == CONFIG_KEY:
-        news.published = change.value or news.published
+        update.published = change.value or update.published
     elif change.key.startswith(EVACUATIONS):
-        _add_zone(news, ZoneId(change.key.removeprefix(EVACUATIONS)), change)
+        _add_zone(update, ZoneId(change.key.removeprefix(EVACUATIONS)), change)
     elif change.key.startswith(REGISTRATIONS):
         upstream = UpstreamId(change.key.removeprefix(REGISTRATIONS))
         entry = _entry_or_none(upstream, change.value)
         if entry is None:
-            news.entries.pop(upstream, None)
-            news.removed.add(upstream)
+            update.entries.pop(upstream, None)
+            update.removed.add(upstream)
         else:
-            news.removed.discard(upstream)
-            news.entries[upstream] = entry
+            update.removed.discard(upstream)
+            update.entries[upstream] = entry
 
 
-def _add_zone(news: News, zone: ZoneId, change: StoredValue) -> None:
+def _add_zone(update: StoreUpdate, zone: ZoneId, change: StoredValue) -> None:
     """Add the record of a zone's evacuation, or that there is none any longer."""
     if change.value is None:
-        news.evacuated.pop(zone, None)
-        news.unreadable_zones.discard(zone)
-        news.reopened[zone] = change.revision
+        update.evacuated.pop(zone, None)
+        update.unreadable_zones.discard(zone)
+        update.reopened[zone] = change.revision
         return
     try:
         msgspec.json.decode(change.value, type=dict)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
-        news.unreadable_zones.add(zone)
+        update.unreadable_zones.add(zone)
         log_event(
             "evacuation_refused",
             "WARNING",
@@ -200,8 +202,8 @@
             detail=error,
         )
         return
-    news.reopened.pop(zone, None)
-    news.evacuated[zone] = change.revision
+    update.reopened.pop(zone, None)
+    update.evacuated[zone] = change.revision
 
 
 def _entry_or_none(upstream: UpstreamId, raw: bytes | None) -> UpstreamEntry | None:
--- a/packages/buckthornwall/src/buckthornwall/platform/tests/test_evacuations.py
+++ b/packages/buckthornwall/src/buckthornwall/platform/tests/test_evacuations.py
@@ -3,33 +3,33 @@
 import pytest
 
 from buckthornwall.platform.calls import Changes, StoredValue
-from buckthornwall.platform.store import news_of
+from buckthornwall.platform.store import to_store_update
 
 
-def news(*values, whole=False):
+def update(*values, is_snapshot=False):
     changes = [
         StoredValue(f"op/evacuate/{zone}", place, raw)
         for place, (zone, raw) in enumerate(values, 1)
     ]
-    return news_of(Changes(len(changes), changes), whole)
+    return to_store_update(Changes(len(changes), changes), is_snapshot)
 
 
 def test_a_record_names_its_zone_in_its_key():
-    found = news(("north", b"{}"), ("south", b'{"since": 3}'))
+    found = update(("north", b"{}"), ("south", b'{"since": 3}'))
     assert found.evacuated == {"north": 1, "south": 2}
     assert found.change_revision == 2
 
 
 def test_a_removal_later_in_the_same_answer_holds():
-    found = news(("north", b"{}"), ("north", None))
+    found = update(("north", b"{}"), ("north", None))
     assert (found.evacuated, found.reopened) == ({}, {"north": 2})
-    again = news(("north", None), ("north", b"{}"))
+    again = update(("north", None), ("north", b"{}"))
     assert (again.evacuated, again.reopened) == ({"north": 2}, {})
 
 
 @pytest.mark.parametrize("raw", [b"\xff\xfe", b"{", b"[]", b"7", b'"north"', b""])
 def test_a_record_that_cannot_be_read_changes_nothing(raw):
-    found = news(("north", raw), ("south", b"{}"), whole=True)
+    found = update(("north", raw), ("south", b"{}"), is_snapshot=True)
     assert found.evacuated == {"south": 2}
     assert found.reopened == {}
     assert found.unreadable_zones == {"north"}
--- a/packages/buckthornwall/src/buckthornwall/platform/tests/test_registrations.py
+++ b/packages/buckthornwall/src/buckthornwall/platform/tests/test_registrations.py
@@ -6,7 +6,7 @@
 from loguru import logger
 
 from buckthornwall.platform.calls import Changes, StoredValue
-from buckthornwall.platform.store import news_of
+from buckthornwall.platform.store import to_store_update
 from buckthornwall.pools import UpstreamState
 
 GOOD = {
@@ -61,10 +61,12 @@
     ],
 )
 def test_an_entry_that_cannot_be_read_names_nobody_and_others_hold(raw, lines):
-    news = news_of(changes(written(), raw, written(state="draining")), whole=True)
-    assert list(news.entries) == ["u0", "u2"]
-    assert news.entries["u2"].state is UpstreamState.LEAVING
-    assert news.change_revision == 3
+    update = to_store_update(
+        changes(written(), raw, written(state="draining")), is_snapshot=True
+    )
+    assert list(update.entries) == ["u0", "u2"]
+    assert update.entries["u2"].state is UpstreamState.LEAVING
+    assert update.change_revision == 3
     refused = [line for line in lines if "event=registration_refused" in line]
     assert len(refused) == 1
     assert "upstream=u1" in refused[0]
@@ -72,13 +74,16 @@
 
 
 def test_an_entry_written_over_by_one_that_cannot_be_read_is_gone():
-    news = news_of(changes(written(), b"?"), whole=False)
-    assert list(news.entries) == ["u0"]
-    assert news.removed == {"u1"}
+    update = to_store_update(changes(written(), b"?"), is_snapshot=False)
+    assert list(update.entries) == ["u0"]
+    assert update.removed == {"u1"}
 
 
 def test_an_upstream_that_started_again_under_its_id_is_another_start():
-    first = news_of(changes(written(born=17)), whole=True).entries["u0"]
-    again = news_of(changes(written(born=18)), whole=True).entries["u0"]
+    first = to_store_update(changes(written(born=17)), is_snapshot=True).entries["u0"]
+    again = to_store_update(changes(written(born=18)), is_snapshot=True).entries["u0"]
     assert first.generation != again.generation
-    assert news_of(changes(written()), whole=True).entries["u0"].generation == ""
+    assert (
+        to_store_update(changes(written()), is_snapshot=True).entries["u0"].generation
+        == ""
+    )
--- a/packages/buckthornwall/src/buckthornwall/router/core.py
+++ b/packages/buckthornwall/src/buckthornwall/router/core.py
@@ -37,9 +37,9 @@
     new_id,
 )
 
-from .news import NewsExchange
-from .news_watch import NewsWatch
 from .operators import answer_operator
+from .staleness_monitor import StalenessMonitor
+from .state_sync import StateSync
 from .stopping import stop_gracefully
 
 __all__ = ["Router"]
@@ -111,10 +111,10 @@
             settings.peers, self.zone, self._beacon, clock, self.quarantine
         )
         self.peers = self.peer_agent.table
-        self.news = NewsExchange(
+        self.state_sync = StateSync(
             self.discovery, self.peers, self._beacon, ViewClient(), clock
         )
-        self.news_watch = NewsWatch(self.peers, self.table)
+        self.staleness_monitor = StalenessMonitor(self.peers, self.table)
         self.callers = HttpServer(clock, self._caller_limits, self._handle_caller)
         self.operators = HttpServer(
             clock, lambda: OPERATOR_LIMITS, self._handle_operator
@@ -123,14 +123,14 @@
             clock, lambda: OPERATOR_LIMITS, self._handle_readiness
         )
         self.view_server = HttpServer(clock, lambda: OPERATOR_LIMITS, self._handle_view)
-        self.discovery.may_read = self.news.may_read
-        self.discovery.on_change = self._news_adopted
+        self.discovery.may_read = self.state_sync.may_read
+        self.discovery.on_change = self._update_adopted
         self.discovery.on_gone = self.forwarder.forget_upstream
         self.discovery.on_restart = self.forwarder.connections.abandon
         self.discovery.on_call = self._count_store_call
         self.peer_agent.on_work = self._work_told
         self.peer_agent.on_held = self.pools.receive_held
-        self.forwarder.account.describe_news = self.news.describe
+        self.forwarder.account.describe_freshness = self.state_sync.describe_freshness
 
     @classmethod
     def from_config(cls, settings: RouterSettings) -> "Router":
@@ -162,7 +162,7 @@
             self.callers_listen = True
             nursery.start_soon(self.discovery.run)
             nursery.start_soon(self._housekeeping)
-            nursery.start_soon(self.news.run)
+            nursery.start_soon(self.state_sync.run)
             await self.stopping.wait()
             await stop_gracefully(self)
             nursery.cancel_scope.cancel()
@@ -178,7 +178,7 @@
             now = self.clock.now()
             self._share_limits(fleet, now)
             self.quarantine.expire(now)
-            self.news_watch.look(now)
+            self.staleness_monitor.look(now)
             if now - logged_at >= LOG_SPEEDS_S:
                 logged_at = now
                 self.pools.log_speeds()
@@ -210,7 +210,7 @@
             self.state,
             self.table.number,
             self.discovery.change_revision,
-            self.news.read_age_ms(),
+            self.state_sync.read_age_ms(),
             int(self.discovery.unbroken_s() * 1000),
             loads,
             held=self.pools.news.told(now),
@@ -230,7 +230,7 @@
     def _count_store_call(self, seconds: float, outcome: str) -> None:
         self.metrics.store_call.add({"outcome": outcome}, seconds)
 
-    def _news_adopted(self) -> None:
+    def _update_adopted(self) -> None:
         self._share_limits(self.fleet(), self.clock.now())
         if self.state is PeerState.JOINING and self.table.number:
             self.state = PeerState.READY
@@ -281,7 +281,7 @@
         await answer.whole(status, [], b"")
 
     async def _handle_view(self, incoming: IncomingRequest, answer: Answer) -> None:
-        await answer_view(incoming, answer, self.news.view(), self.table.number)
+        await answer_view(incoming, answer, self.state_sync.view(), self.table.number)
 
     async def _handle_operator(self, incoming: IncomingRequest, answer: Answer) -> None:
         await answer_operator(self, incoming, answer)
--- a/packages/buckthornwall/src/buckthornwall/router/news_watch.py
+++ b/packages/buckthornwall/src/buckthornwall/router/staleness_monitor.py
@@ -4,13 +4,13 @@
 from buckthornwall.routing import RoutingTable
 from buckthornwall.telemetry import log_event
 
-__all__ = ["NewsWatch"]
+__all__ = ["StalenessMonitor"]
 
 # A speaker's word is never this old, in seconds, unless something is wrong.
 OVERDUE_S = 1.0
 
 
-class NewsWatch:
+class StalenessMonitor:
     """Logs when the speaker that an instance goes by tells nothing, and again does.
 
     Parameters
--- a/packages/buckthornwall/src/buckthornwall/router/news.py
+++ b/packages/buckthornwall/src/buckthornwall/router/state_sync.py
@@ -7,12 +7,12 @@
 import trio
 
 from buckthornwall.codes import PeerError
-from buckthornwall.discovery import DiscoveryAgent, News
+from buckthornwall.discovery import DiscoveryAgent, StoreUpdate
 from buckthornwall.peers import Beacon, Digest, PeerTable, PeerView, ViewClient
 from buckthornwall.telemetry import log_event
 from buckthornwall.utils import Clock
 
-__all__ = ["NewsExchange"]
+__all__ = ["StateSync"]
 
 MS_PER_S = 1000.0
 # How often it is looked whether a peer has newer news.
@@ -35,7 +35,7 @@
 NEVER_MS = 1_000_000_000
 
 
-class NewsExchange:
+class StateSync:
     """Decides who reads, and takes from peers what this instance does not read.
 
     Parameters
@@ -121,9 +121,9 @@
             return
         log_event("view_taken", peer=peer, mark=view.change_revision)
         self.discovery.adopt(
-            News(
+            StoreUpdate(
                 revision=view.revision,
-                whole=True,
+                is_snapshot=True,
                 change_revision=view.change_revision,
                 published=view.published or None,
                 entries={entry.id: entry for entry in view.entries},
@@ -152,7 +152,7 @@
         age_ms = (self.clock.now() - self.discovery.read_at) * MS_PER_S
         return int(min(age_ms, NEVER_MS))
 
-    def describe(self) -> dict[str, object]:
+    def describe_freshness(self) -> dict[str, object]:
         """Return which version is in force, and how old the word it rests on is."""
         staleness_s = self.peers.staleness_s(self.clock.now())
         return {
--- a/packages/buckthornwall/src/buckthornwall/router/tests/test_news_watch.py
+++ b/packages/buckthornwall/src/buckthornwall/router/tests/test_staleness_monitor.py
@@ -4,7 +4,7 @@
 from loguru import logger
 
 from buckthornwall.peers import PeerTable
-from buckthornwall.router.news_watch import NewsWatch
+from buckthornwall.router.staleness_monitor import StalenessMonitor
 from buckthornwall.routing import RoutingTable
 from buckthornwall.utils import ZoneId
 
@@ -22,7 +22,7 @@
     ages = iter([0.4, 1.5, 2.0, 0.2, 0.3])
     monkeypatch.setattr(peers, "staleness_s", lambda now: next(ages))
     monkeypatch.setattr(peers, "speaker_address", lambda now: "10.0.0.2:7340")
-    watch = NewsWatch(peers, RoutingTable())
+    watch = StalenessMonitor(peers, RoutingTable())
     for now in (10.0, 11.5, 12.0, 12.5, 13.0):
         watch.look(now)
     assert len(lines) == 2
--- a/packages/buckthornwall/src/buckthornwall/router/tests/test_news.py
+++ b/packages/buckthornwall/src/buckthornwall/router/tests/test_state_sync.py
@@ -2,10 +2,10 @@
 
 import pytest
 
-from buckthornwall.discovery import DiscoveryAgent, DiscoverySettings, News
+from buckthornwall.discovery import DiscoveryAgent, DiscoverySettings, StoreUpdate
 from buckthornwall.peers import Beacon, PeerState, PeerTable, ViewClient
 from buckthornwall.pools import PoolTable, UpstreamEntry, UpstreamState
-from buckthornwall.router.news import UNHEARD_S, NewsExchange, view_pause_s
+from buckthornwall.router.state_sync import UNHEARD_S, StateSync, view_pause_s
 from buckthornwall.routing import PoolId, Published, RoutingTable
 from buckthornwall.utils import Incarnation, NodeId, UpstreamId, ZoneId
 
@@ -42,9 +42,11 @@
     discovery = DiscoveryAgent(
         DiscoverySettings(), None, decode, RoutingTable(), PoolTable(clock), clock
     )
-    discovery.adopt(News(revision=1, whole=True, change_revision=1, published=b"1"))
+    discovery.adopt(
+        StoreUpdate(revision=1, is_snapshot=True, change_revision=1, published=b"1")
+    )
     peers = PeerTable(OWN, 1.0, ZONE, 0.8, 0.1)
-    exchange = NewsExchange(discovery, peers, lambda: beacon(OWN), ViewClient(), clock)
+    exchange = StateSync(discovery, peers, lambda: beacon(OWN), ViewClient(), clock)
     hear(exchange, clock)
     return exchange
 
@@ -87,7 +89,7 @@
     clock.time += 1.0
     assert exchange.should_ask(fleet)
     exchange.discovery.adopt(
-        News(revision=2, whole=False, change_revision=2, published=b"2")
+        StoreUpdate(revision=2, is_snapshot=False, change_revision=2, published=b"2")
     )
     assert not exchange.should_ask(fleet)
 
@@ -101,7 +103,7 @@
     await exchange.take_view("127.0.0.1:1")
     assert exchange.may_read()
     exchange.discovery.adopt(
-        News(revision=2, whole=False, change_revision=2, published=b"2")
+        StoreUpdate(revision=2, is_snapshot=False, change_revision=2, published=b"2")
     )
     assert not exchange.should_ask(fleet)
     assert not exchange.may_read()
