--- a/packages/buckthornwall-standins/src/buckthornwall_standins/pool_sim/instance.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/pool_sim/instance.py
@@ -85,7 +85,7 @@
 
     def note_unreachable(self, view: UpstreamView) -> None:
         """Record that nothing could be sent to an engine."""
-        self.pools.note_end(view, Verdict.UNREACHABLE)
+        self.pools.record_outcome(view, Verdict.UNREACHABLE)
 
     def send(
         self,
@@ -104,7 +104,7 @@
         load.memory += request.prompt.memory_tokens
         load.add_pending_prefill(rank, choice.uncached_tokens)
         load.waits.begin(rank, request, sent_at)
-        choice.view.health.note_sent(sent_at)
+        choice.view.health.record_sent(sent_at)
         self.pools.note_prompt(choice.view, request.prompt)
         last_at: float | None = None
         was_idle = False
@@ -137,7 +137,7 @@
                 load.tight -= traits.tight
                 load.memory -= request.prompt.memory_tokens
                 verdict = Verdict.FAILED if request.failed else Verdict.GOOD
-                self.pools.note_end(choice.view, verdict)
+                self.pools.record_outcome(choice.view, verdict)
 
         request.on_event = on_event
 
--- a/packages/buckthornwall/src/buckthornwall/discovery/agent.py
+++ b/packages/buckthornwall/src/buckthornwall/discovery/agent.py
@@ -269,7 +269,7 @@
             reopened += evacuations.record_absent(present, update.revision)
         for zone in reopened:
             log_event("zone_reopened", "WARNING", zone=zone, revision=update.revision)
-            self.pools.rate_limits.assume_cold(self.pools.of_zone(zone))
+            self.pools.rate_limits.assume_cold(self.pools.in_zone(zone))
 
     def unbroken_s(self) -> float:
         """Return for how long the source has answered here without an outage.
--- a/packages/buckthornwall/src/buckthornwall/forwarding/attempt.py
+++ b/packages/buckthornwall/src/buckthornwall/forwarding/attempt.py
@@ -111,7 +111,7 @@
         load.requests += 1
         load.tight += self.tight
         load.memory += memory
-        view.health.note_sent(self.clock.now())
+        view.health.record_sent(self.clock.now())
         reply = None
         try:
             reply, result = await self._exchange(connection, pending_prefill)
--- a/packages/buckthornwall/src/buckthornwall/forwarding/forwarder.py
+++ b/packages/buckthornwall/src/buckthornwall/forwarding/forwarder.py
@@ -366,7 +366,7 @@
             return  # a full upstream that says so is healthy
         else:
             verdict = Verdict.FAILED
-        self.pools.note_end(choice.view, verdict)
+        self.pools.record_outcome(choice.view, verdict)
 
     def _nobody(self, job: Job) -> Refusal:
         refusal = refusal_without_upstream(self.pools, job)
--- a/packages/buckthornwall/src/buckthornwall/forwarding/no_upstream.py
+++ b/packages/buckthornwall/src/buckthornwall/forwarding/no_upstream.py
@@ -20,7 +20,7 @@
         code = ResultCode.UPSTREAM_UNREACHABLE
         return Refusal(code, job.detail, retry_after_s=NO_ENGINE_RETRY_S)
     pool, regions = job.resolution.pool.id, job.resolution.regions
-    if not pools.is_within(pool, regions):
+    if not pools.has_ready_in(pool, regions):
         return _none_allowed(ResultCode.REGIONS_WITHOUT_UPSTREAM)
     if pools.is_evacuated(pool, regions):
         return _none_allowed(ResultCode.UPSTREAMS_EVACUATED)
--- a/packages/buckthornwall/src/buckthornwall/pools/health.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/health.py
@@ -10,14 +10,14 @@
 
 __all__ = ["Health", "Verdict"]
 
-WINDOW = 20  # results that are looked at
-LEAST_RESULTS = 5  # fewer say nothing
-MEMORY_S = 6.0  # older results say nothing
-FAILING_SHARE = 0.3  # set aside above this ...
-ABOVE_POOL = 0.15  # ... and this much above the rest of the pool
-FIRST_PAUSE_S = 0.4
-LONGEST_PAUSE_S = 4.0
-PROBE_LIMIT_S = 3.0  # a trial without an end frees the place for another
+MAX_RESULTS = 20  # results that are looked at
+MIN_RESULTS = 5  # fewer say nothing
+RESULT_TTL_S = 6.0  # older results say nothing
+EJECTION_FAILURE_SHARE = 0.3  # set aside above this ...
+EJECTION_MARGIN = 0.15  # ... and this much above the rest of the pool
+BASE_EJECTION_S = 0.4
+MAX_EJECTION_S = 4.0
+PROBE_TIMEOUT_S = 3.0  # a trial without an end frees the place for another
 
 
 class Verdict(Enum):
@@ -32,45 +32,47 @@
     """The recent results of one upstream; a pure state machine."""
 
     def __init__(self) -> None:
-        self.results: deque[tuple[float, bool]] = deque(maxlen=WINDOW)
-        self.pause_s = 0.0
+        self.results: deque[tuple[float, bool]] = deque(maxlen=MAX_RESULTS)
+        self.ejection_s = 0.0
         self.ejected_until = 0.0
-        self.probe_at: float | None = None
+        self.probe_sent_at: float | None = None
 
     @property
     def ejected(self) -> bool:
         """Whether it is set aside, be it for a trial or not."""
-        return self.pause_s > 0
+        return self.ejection_s > 0
 
-    def may_try(self, now: float) -> bool:
+    def allows_request(self, now: float) -> bool:
         """Tell whether a request may go there."""
         if not self.ejected:
             return True
         if now < self.ejected_until:
             return False
-        return self.probe_at is None or now - self.probe_at > PROBE_LIMIT_S
+        return self.probe_sent_at is None or now - self.probe_sent_at > PROBE_TIMEOUT_S
 
-    def note_sent(self, now: float) -> None:
+    def record_sent(self, now: float) -> None:
         """Count a request that goes there; it is a trial if set aside."""
         if self.ejected:
-            self.probe_at = now
+            self.probe_sent_at = now
 
-    def failing_share(self, now: float) -> float:
+    def failure_share(self, now: float) -> float:
         """Return the share of recent requests that failed, 0 to 1."""
-        while self.results and now - self.results[0][0] > MEMORY_S:
+        while self.results and now - self.results[0][0] > RESULT_TTL_S:
             self.results.popleft()
-        if len(self.results) < LEAST_RESULTS:
+        if len(self.results) < MIN_RESULTS:
             return 0.0
-        return sum(1 for _, bad in self.results if bad) / len(self.results)
+        return sum(1 for _, failed in self.results if failed) / len(self.results)
 
-    def note(self, verdict: Verdict, pool_share: float, now: float) -> bool:
+    def record_outcome(
+        self, verdict: Verdict, pool_failure_share: float, now: float
+    ) -> bool:
         """Take the end of a request.
 
         Parameters
         ----------
         verdict
             How it ended.
-        pool_share
+        pool_failure_share
             The share of failed requests in the rest of the pool.
         now
             The time in seconds.
@@ -81,30 +83,32 @@
             Whether the upstream was set aside or came back by it.
         """
         was_ejected = self.ejected
-        bad = verdict is not Verdict.GOOD
-        if was_ejected and not bad:
-            self._come_back()
+        failed = verdict is not Verdict.GOOD
+        if was_ejected and not failed:
+            self._readmit()
             return True
-        self.results.append((now, bad))
-        if was_ejected and bad:
+        self.results.append((now, failed))
+        if was_ejected and failed:
             if now >= self.ejected_until:
                 self._eject(now)
             return False
         if verdict is Verdict.UNREACHABLE:
             self._eject(now)
             return True
-        share = self.failing_share(now)
-        if bad and share > max(FAILING_SHARE, pool_share + ABOVE_POOL):
+        share = self.failure_share(now)
+        if failed and share > max(
+            EJECTION_FAILURE_SHARE, pool_failure_share + EJECTION_MARGIN
+        ):
             self._eject(now)
             return True
         return False
 
     def _eject(self, now: float) -> None:
-        self.pause_s = min(LONGEST_PAUSE_S, self.pause_s * 2 or FIRST_PAUSE_S)
-        self.ejected_until = now + self.pause_s
-        self.probe_at = None
+        self.ejection_s = min(MAX_EJECTION_S, self.ejection_s * 2 or BASE_EJECTION_S)
+        self.ejected_until = now + self.ejection_s
+        self.probe_sent_at = None
 
-    def _come_back(self) -> None:
+    def _readmit(self) -> None:
         self.results.clear()
-        self.pause_s = 0.0
-        self.probe_at = None
+        self.ejection_s = 0.0
+        self.probe_sent_at = None
--- a/packages/buckthornwall/src/buckthornwall/pools/table.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/table.py
@@ -32,7 +32,7 @@
 Regions = frozenset[RegionId] | None
 
 # The last token of a limited pool is kept for more urgent requests so long, in seconds.
-RESERVED_S = 0.5
+RESERVED_TOKEN_S = 0.5
 
 
 class PoolTable:
@@ -112,7 +112,7 @@
         self.rate_limits.adopt(view)
         return restarted
 
-    def of_zone(self, zone: ZoneId) -> list[UpstreamView]:
+    def in_zone(self, zone: ZoneId) -> list[UpstreamView]:
         """Return the upstreams of an availability zone."""
         return [view for view in self.views.values() if view.entry.zone == zone]
 
@@ -142,7 +142,7 @@
 
     def knows_zone(self, zone: ZoneId) -> bool:
         """Tell whether a zone is set, or has upstreams."""
-        return zone in self.regions or bool(self.of_zone(zone))
+        return zone in self.regions or bool(self.in_zone(zone))
 
     def is_evacuated(self, pool: PoolId, regions: Regions = None) -> bool:
         """Tell whether all ready upstreams of a pool are in evacuated zones."""
@@ -154,7 +154,7 @@
         }
         return bool(zones) and all(map(self.evacuations.is_evacuated, zones))
 
-    def is_within(self, pool: PoolId, regions: Regions) -> bool:
+    def has_ready_in(self, pool: PoolId, regions: Regions) -> bool:
         """Tell whether a pool has ready upstreams in some regions."""
         return regions is None or any(
             view.entry.state is UpstreamState.READY and self._is_allowed(view, regions)
@@ -214,14 +214,14 @@
         tried: frozenset[UpstreamId] | set[UpstreamId],
         regions: Regions = None,
     ) -> Iterator[UpstreamView]:
-        emptied = self.evacuations.zones()
+        evacuated = self.evacuations.zones()
         for view in self.members(pool):
             entry = view.entry
             if (
                 entry.state is UpstreamState.READY
                 and entry.loaded
                 and entry.id not in tried
-                and entry.zone not in emptied
+                and entry.zone not in evacuated
                 and (regions is None or self._is_allowed(view, regions))
             ):
                 yield view
@@ -244,12 +244,13 @@
             for view in self._ready(pool, tried, regions)
             if view.rate_limit.may_send(now)
         ]
-        sound = [
+        healthy = [
             view
             for view in ready
-            if view.health.may_try(now) and not view.reachability.is_unreachable(now)
+            if view.health.allows_request(now)
+            and not view.reachability.is_unreachable(now)
         ]
-        return sound or ready
+        return healthy or ready
 
     def limit_queue(self, pool: PoolId) -> LimitQueue:
         """Return who waits for a token of a limited pool."""
@@ -283,7 +284,7 @@
         limits = [view.rate_limit for view in self._ready(pool, frozenset(), regions)]
         if sum(1 for limit in limits if limit.may_send(now)) > 1:
             return True
-        return any(limit.ready_for_s(now) >= RESERVED_S for limit in limits)
+        return any(limit.ready_for_s(now) >= RESERVED_TOKEN_S for limit in limits)
 
     def limit_interval_s(self, pool: PoolId, regions: Regions = None) -> float:
         """Return the seconds between two requests that a limited pool takes from here.
@@ -311,25 +312,27 @@
             if view is not None:
                 view.reachability.record_reports(reporters, now)
 
-    def note_end(self, view: UpstreamView, verdict: Verdict) -> None:
+    def record_outcome(self, view: UpstreamView, verdict: Verdict) -> None:
         """Take how a request at an upstream ended."""
         now = self.clock.now()
         if verdict is Verdict.UNREACHABLE:
             view.reachability.record_failed(now)
-        changed = view.health.note(verdict, self._share_of_rest(view), now)
+        changed = view.health.record_outcome(
+            verdict, self._failure_share_of_others(view), now
+        )
         if changed:
             log_event(
                 "upstream_set_aside" if view.health.ejected else "upstream_back",
                 "WARNING",
                 upstream=view.id,
                 verdict=verdict.value,
-                pause_s=view.health.pause_s,
+                pause_s=view.health.ejection_s,
             )
 
-    def _share_of_rest(self, view: UpstreamView) -> float:
+    def _failure_share_of_others(self, view: UpstreamView) -> float:
         now = self.clock.now()
         others = [
-            other.health.failing_share(now)
+            other.health.failure_share(now)
             for other in self.members(view.entry.pool)
             if other is not view
         ]
--- a/packages/buckthornwall/src/buckthornwall/pools/tests/test_evacuation.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/tests/test_evacuation.py
@@ -63,7 +63,7 @@
 def test_an_evacuated_zone_is_not_used_where_everybody_else_fails(pools):
     pools.evacuations.record(ZONE, 1, True)
     pools.views["b"].health.ejected_until = pools.clock.now() + 9
-    pools.views["b"].health.pause_s = 9.0
+    pools.views["b"].health.ejection_s = 9.0
     assert usable(pools) == ["b"]
 
 
--- a/packages/buckthornwall/src/buckthornwall/pools/tests/test_health.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/tests/test_health.py
@@ -10,26 +10,28 @@
 
 def test_an_unreachable_upstream_is_set_aside_and_tried_again(table, clock):
     view = table.views["a"]
-    table.note_end(view, Verdict.UNREACHABLE)
+    table.record_outcome(view, Verdict.UNREACHABLE)
     assert view not in table.usable(POOL, set())
     clock.time += 1.0
     assert view in table.usable(POOL, set())
-    view.health.note_sent(clock.now())
+    view.health.record_sent(clock.now())
     assert view not in table.usable(POOL, set())
-    table.note_end(view, Verdict.GOOD)
+    table.record_outcome(view, Verdict.GOOD)
     assert view in table.usable(POOL, set())
 
 
 def test_where_all_are_set_aside_all_count(table):
     for view in table.views.values():
-        table.note_end(view, Verdict.UNREACHABLE)
+        table.record_outcome(view, Verdict.UNREACHABLE)
     assert len(table.usable(POOL, set())) == 3
 
 
 def test_who_fails_much_more_than_the_rest_is_set_aside():
     health = Health()
     for step in range(30):
-        health.note(Verdict.FAILED if step % 2 else Verdict.GOOD, 0.05, step * 0.1)
+        health.record_outcome(
+            Verdict.FAILED if step % 2 else Verdict.GOOD, 0.05, step * 0.1
+        )
         if health.ejected:
             break
     assert health.ejected
@@ -38,5 +40,7 @@
 def test_who_fails_like_the_rest_is_not_set_aside():
     health = Health()
     for step in range(40):
-        health.note(Verdict.FAILED if step % 2 else Verdict.GOOD, 0.5, step * 0.1)
+        health.record_outcome(
+            Verdict.FAILED if step % 2 else Verdict.GOOD, 0.5, step * 0.1
+        )
     assert not health.ejected
--- a/packages/buckthornwall/src/buckthornwall/pools/tests/test_reachability.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/tests/test_reachability.py
@@ -64,9 +64,9 @@
 
 def test_what_this_instance_finds_is_told(table, clock):
     view = next(iter(table.members(POOL)))
-    table.note_end(view, Verdict.FAILED)
+    table.record_outcome(view, Verdict.FAILED)
     assert table.unreachable() == []
-    table.note_end(view, Verdict.UNREACHABLE)
+    table.record_outcome(view, Verdict.UNREACHABLE)
     assert table.unreachable() == [view.id]
     clock.time += 2 * FAILURE_TTL_S
     assert table.unreachable() == []
--- a/packages/buckthornwall/src/buckthornwall/pools/tests/test_regions.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/tests/test_regions.py
@@ -51,8 +51,8 @@
 
 def test_where_no_region_is_allowed_nobody_is_chosen(pools):
     assert chosen(pools, frozenset()) is None
-    assert not pools.is_within(POOL, frozenset())
-    assert not pools.is_within(POOL, frozenset({"south"}))
+    assert not pools.has_ready_in(POOL, frozenset())
+    assert not pools.has_ready_in(POOL, frozenset({"south"}))
 
 
 def test_an_evacuation_of_all_that_is_allowed_is_told_apart(pools):
--- a/packages/buckthornwall/src/buckthornwall/pools/tests/test_table.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/tests/test_table.py
@@ -31,7 +31,7 @@
     view.load.requests = 3
     view.load.peers = PeerLoad(2, {0: 900})
     view.prefixes.note(PROMPT)
-    table.note_end(view, Verdict.UNREACHABLE)
+    table.record_outcome(view, Verdict.UNREACHABLE)
     return table
 
 
