--- a/packages/buckthornwall-standins/src/buckthornwall_standins/peers_sim/peer.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/peers_sim/peer.py
@@ -151,7 +151,7 @@
             read_age_ms=self.state_sync.read_age_ms(),
             unbroken_ms=int(self.discovery.unbroken_s() * 1000),
             loads=self.simulation.make_loads(self.address),
-            held=self.simulation.make_held(self.address),
+            cached_prefixes=self.simulation.make_cached_prefixes(self.address),
             crash_checksum=self.quarantine.checksum,
             limits=self.pools.rate_limits.reports(),
         )
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/peers_sim/simulation.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/peers_sim/simulation.py
@@ -7,7 +7,7 @@
 import trio
 from buckthornwall.peers import Work
 from buckthornwall.peers.order import order_of
-from buckthornwall.pools import HeldParts, UpstreamEntry
+from buckthornwall.pools import CachedPrefixes, UpstreamEntry
 from buckthornwall.utils import UpstreamId, ZoneId
 
 from .network import SimNetwork
@@ -37,7 +37,7 @@
         Who is not answered by the store.
     seeds : list of str
         Whom instances greet first.
-    make_loads, make_held
+    make_loads, make_cached_prefixes
         Return the work that an instance has at upstreams, and the parts of prompts
         that it tells of, by its address.
     zones : list of str
@@ -56,7 +56,7 @@
         self.peers: dict[str, SimPeer] = {}
         self.seeds: list[str] = []
         self.make_loads: Callable[[str], dict[UpstreamId, Work]] = lambda address: {}
-        self.make_held: Callable[[str], HeldParts] = lambda address: {}
+        self.make_cached_prefixes: Callable[[str], CachedPrefixes] = lambda address: {}
         self.without_store: set[str] = set()
         self.entries: dict[UpstreamId, UpstreamEntry] = {}
         self.zones: list[ZoneId] = []
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/peers_sim/word_age.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/peers_sim/word_age.py
@@ -13,7 +13,7 @@
 
 import trio
 from buckthornwall.peers import Work
-from buckthornwall.pools import HeldParts, PrefixNews
+from buckthornwall.pools import CachedPrefixes, PrefixUpdates
 from buckthornwall.utils import UpstreamId
 from loguru import logger
 from trio.testing import MockClock
@@ -70,7 +70,7 @@
             instances // zones + (place < instances % zones) for place in range(zones)
         ]
         self.engines = [self._id() for _ in range(engines)]
-        self.news: dict[str, PrefixNews] = {}
+        self.prefix_updates: dict[str, PrefixUpdates] = {}
         self.probes: dict[str, UpstreamId] = {}
 
     def _id(self) -> UpstreamId:
@@ -102,7 +102,7 @@
 
     def _start(self) -> None:
         self.fleet.make_loads = self._loads
-        self.fleet.make_held = self._held
+        self.fleet.make_cached_prefixes = self._cached_prefixes
         for place, count in enumerate(self.zone_sizes, 1):
             peers = self.fleet.start_zone(f"z{place}", place, count)
             self.probes[self.draw.choice(peers).address] = self._id()
@@ -128,14 +128,14 @@
             loads[self.probes[address]] = Work(1, {RANK: ticks * TICK_TOKENS})
         return loads
 
-    def _held(self, address: str) -> HeldParts:
+    def _cached_prefixes(self, address: str) -> CachedPrefixes:
         now = trio.current_time()
-        news = self.news.setdefault(address, PrefixNews())
+        updates = self.prefix_updates.setdefault(address, PrefixUpdates())
         # Beacons go out ten times a second, and are made as often for other ends.
         if self.draw.random() < PARTS_PER_S / 30:
             part = f"{self.draw.getrandbits(32):08x}"
-            news.note(self.draw.choice(self.engines), [(part, 3800)], now)
-        return news.told(now)
+            updates.note(self.draw.choice(self.engines), [(part, 3800)], now)
+        return updates.to_send(now)
 
     async def _look(self, found: WordAge) -> None:
         while True:
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/pool_sim/engine.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/pool_sim/engine.py
@@ -50,7 +50,7 @@
 
     Attributes
     ----------
-    held : OrderedDict
+    cached : OrderedDict
         Tokens of the segments that it has read, the least recently used first.
     running : list
         Requests whose prompt was read.
@@ -65,7 +65,7 @@
     speed: EngineSpeed
     is_live: bool = True
     is_awake: bool = False
-    held: OrderedDict[str, int] = field(default_factory=OrderedDict)
+    cached: OrderedDict[str, int] = field(default_factory=OrderedDict)
     running: list[SimRequest] = field(default_factory=list)
     waiting: list[tuple[int, int, SimRequest]] = field(default_factory=list)
     uncached_tokens: int = 0
@@ -75,8 +75,8 @@
         in_use = len(self.running) + len(self.waiting)
         if in_use >= self.speed.slots + self.speed.queued:
             return False
-        request.pending_prefill_tokens = request.prompt.prompt_tokens - self._held_of(
-            request
+        request.pending_prefill_tokens = (
+            request.prompt.prompt_tokens - self._cached_tokens(request)
         )
         heapq.heappush(self.waiting, (rank, number, request))
         return True
@@ -94,7 +94,7 @@
             self._fail(request, now)
         self.running.clear()
         self.waiting.clear()
-        self.held.clear()
+        self.cached.clear()
 
     def step(self, now: float) -> float:
         """Work for one step; return how long it takes, in seconds."""
@@ -131,26 +131,26 @@
     def _keep(self, request: SimRequest) -> None:
         """Keep what was read, in the room that running requests leave."""
         for segment in request.prompt.segments:
-            self.held[segment.id] = segment.tokens
-            self.held.move_to_end(segment.id)
+            self.cached[segment.id] = segment.tokens
+            self.cached.move_to_end(segment.id)
         used = sum(each.prompt.prompt_tokens for each in self.running)
         room = self.speed.memory_tokens - used
-        total = sum(self.held.values())
-        while total > max(0, room) and self.held:
-            total -= self.held.popitem(last=False)[1]
+        total = sum(self.cached.values())
+        while total > max(0, room) and self.cached:
+            total -= self.cached.popitem(last=False)[1]
 
-    def _held_of(self, request: SimRequest) -> int:
+    def _cached_tokens(self, request: SimRequest) -> int:
         tokens = 0
         for segment in request.prompt.segments:
-            if segment.id not in self.held:
+            if segment.id not in self.cached:
                 break
             tokens += segment.tokens
         return tokens
 
     def _read(self, request: SimRequest) -> float:
-        held = self._held_of(request)  # read for another one meanwhile, perhaps
+        cached = self._cached_tokens(request)  # read for another one meanwhile, perhaps
         request.pending_prefill_tokens = min(
-            request.pending_prefill_tokens, request.prompt.prompt_tokens - held
+            request.pending_prefill_tokens, request.prompt.prompt_tokens - cached
         )
         tokens = max(0, min(request.pending_prefill_tokens, self.speed.piece))
         before = request.prompt.prompt_tokens - request.pending_prefill_tokens
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/pool_sim/simulation.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/pool_sim/simulation.py
@@ -8,10 +8,10 @@
 
 from buckthornwall.peers import Work, add_work
 from buckthornwall.pools import (
-    HeldParts,
+    CachedPrefixes,
     Unreachable,
     add_unreachable,
-    merge_held,
+    merge_cached_prefixes,
 )
 from buckthornwall.routing import PromptSegment, PromptShape
 from buckthornwall.utils import ModelId, UpstreamId
@@ -250,13 +250,18 @@
         now = self.clock.now()
         works = [instance.work() for instance in self.instances]
         totals: dict[UpstreamId, Work] = {}
-        held: HeldParts = {}
+        cached_prefixes: CachedPrefixes = {}
         lost: Unreachable = {}
         for instance, work in zip(self.instances, works, strict=True):
             add_work(totals, work)
-            merge_held(held, instance.pools.news.told(now))
+            merge_cached_prefixes(
+                cached_prefixes, instance.pools.prefix_updates.to_send(now)
+            )
             add_unreachable(lost, dict.fromkeys(instance.pools.unreachable(), 1))
-        self._at(now + self.staleness_s, lambda: self._hear(totals, works, held, lost))
+        self._at(
+            now + self.staleness_s,
+            lambda: self._hear(totals, works, cached_prefixes, lost),
+        )
         if now < seconds:
             self._at(now + TOLD_EVERY_S, lambda: self._tell(seconds))
 
@@ -264,10 +269,10 @@
         self,
         totals: dict[UpstreamId, Work],
         works: list[dict[UpstreamId, Work]],
-        held: HeldParts,
+        cached_prefixes: CachedPrefixes,
         lost: Unreachable,
     ) -> None:
         for instance, own in zip(self.instances, works, strict=True):
             instance.hear(totals, own)
             instance.pools.receive_unreachable(lost)
-            instance.pools.receive_held(held)
+            instance.pools.receive_cached_prefixes(cached_prefixes)
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/users_platform/engine.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/users_platform/engine.py
@@ -39,7 +39,7 @@
         Prompt tokens that it reads in a second.
     event_s : float
         Seconds between the events of a stream.
-    held : set
+    cached : set
         Segments that it has read.
     """
 
@@ -48,7 +48,7 @@
     event_s: float = 0.04
     slots: int = 32
     running: int = 0
-    held: set[bytes] = field(default_factory=set)
+    cached: set[bytes] = field(default_factory=set)
     _waiting: list[tuple[int, int, _Prompt]] = field(default_factory=list)
     _numbers: itertools.count = field(default_factory=itertools.count)
     _come: trio.Event = field(default_factory=trio.Event)
@@ -75,7 +75,7 @@
             if not prompt.pending_prefill_tokens:
                 self._waiting = [e for e in self._waiting if e[2] is not prompt]
                 heapq.heapify(self._waiting)
-                self.held.update(prompt.segments)
+                self.cached.update(prompt.segments)
                 prompt.read.set()
 
     async def _handle(self, incoming: IncomingRequest, answer: Answer) -> None:
@@ -95,7 +95,7 @@
         self, rank: int, segments: dict[bytes, int]
     ) -> AsyncIterator[_Prompt]:
         pending_prefill = sum(
-            n for segment, n in segments.items() if segment not in self.held
+            n for segment, n in segments.items() if segment not in self.cached
         )
         prompt = _Prompt(max(1, pending_prefill), segments)
         heapq.heappush(self._waiting, (rank, next(self._numbers), prompt))
--- a/packages/buckthornwall/src/buckthornwall/peers/agent.py
+++ b/packages/buckthornwall/src/buckthornwall/peers/agent.py
@@ -7,7 +7,7 @@
 from trio.socket import SocketType
 
 from buckthornwall.codes import PeerError
-from buckthornwall.pools import HeldParts
+from buckthornwall.pools import CachedPrefixes
 from buckthornwall.quarantine import QuarantineTable
 from buckthornwall.telemetry import log_event
 from buckthornwall.utils import Clock, ConfigItem, ConfigNamespace, ZoneId
@@ -139,7 +139,9 @@
         )
         self.crashes = CrashExchange(quarantine)
         self.on_work: Callable[[], None] = lambda: None
-        self.on_held: Callable[[HeldParts], None] = lambda held: None
+        self.on_cached_prefixes: Callable[[CachedPrefixes], None] = (
+            lambda cached_prefixes: None
+        )
         self.open_socket: Callable[[str], Awaitable[SocketType]] = open_socket
         self.bytes_sent = 0
         turn_s = settings.digest_ms / MS_PER_S
@@ -289,7 +291,7 @@
             for report in message.reports:
                 self.crashes.table.receive(report, now)
             return
-        self.on_held(message.held)
+        self.on_cached_prefixes(message.cached_prefixes)
         if isinstance(message, Digest):
             await self._take_digest(message, now)
             return
@@ -297,14 +299,14 @@
 
     def _take_heartbeat(self, heartbeat: Heartbeat, now: float) -> None:
         try:
-            held = self.table.receive_heartbeat(heartbeat, now)
+            cached_prefixes = self.table.receive_heartbeat(heartbeat, now)
         except PeerError as error:
             log_event("beacon_refused", "WARNING", detail=error)
             return
         self._compare(heartbeat, now)
-        if held is None:
+        if cached_prefixes is None:
             return
-        self.on_held(held)
+        self.on_cached_prefixes(cached_prefixes)
         if heartbeat.zone == self.table.zone:
             self.on_work()
 
--- a/packages/buckthornwall/src/buckthornwall/peers/counts.py
+++ b/packages/buckthornwall/src/buckthornwall/peers/counts.py
@@ -2,11 +2,16 @@
 
 import random
 
-from buckthornwall.pools import HeldParts, merge_held
+from buckthornwall.pools import CachedPrefixes, merge_cached_prefixes
 from buckthornwall.utils import UpstreamId
 
 from .messages import Digest, Heartbeat, Work
-from .packing import pack_held, pack_loads, unpack_held, unpack_loads
+from .packing import (
+    pack_cached_prefixes,
+    pack_loads,
+    unpack_cached_prefixes,
+    unpack_loads,
+)
 
 __all__ = ["CountsWriter", "read_counts"]
 
@@ -29,7 +34,10 @@
         self._names[digest.is_fleet] = (self._sequence, list(digest.loads))
 
     def fill(
-        self, heartbeat: Heartbeat, loads: dict[UpstreamId, Work], held: HeldParts
+        self,
+        heartbeat: Heartbeat,
+        loads: dict[UpstreamId, Work],
+        cached_prefixes: CachedPrefixes,
     ) -> None:
         """Put work and parts into a heartbeat, after a digest that was numbered."""
         heartbeat.sequence, names = self._names[heartbeat.is_fleet]
@@ -37,12 +45,14 @@
         heartbeat.loads = {
             upstream: loads[upstream] for upstream in loads.keys() - set(names)
         }
-        heartbeat.parts, heartbeat.held = pack_held(held, names)
+        heartbeat.parts, heartbeat.cached_prefixes = pack_cached_prefixes(
+            cached_prefixes, names
+        )
 
 
 def read_counts(
     heartbeat: Heartbeat, digest: Digest, names: list[UpstreamId]
-) -> tuple[dict[UpstreamId, Work], HeldParts] | None:
+) -> tuple[dict[UpstreamId, Work], CachedPrefixes] | None:
     """Return the work and the parts that a heartbeat tells.
 
     Parameters
@@ -64,6 +74,6 @@
     """
     if not heartbeat.sequence or heartbeat.sequence != digest.sequence:
         return None
-    held = unpack_held(heartbeat.parts, names)
-    merge_held(held, heartbeat.held)
-    return unpack_loads(heartbeat.counts, names) | heartbeat.loads, held
+    cached_prefixes = unpack_cached_prefixes(heartbeat.parts, names)
+    merge_cached_prefixes(cached_prefixes, heartbeat.cached_prefixes)
+    return unpack_loads(heartbeat.counts, names) | heartbeat.loads, cached_prefixes
--- a/packages/buckthornwall/src/buckthornwall/peers/messages.py
+++ b/packages/buckthornwall/src/buckthornwall/peers/messages.py
@@ -11,8 +11,8 @@
 
 from buckthornwall.codes import PeerError, ResultCode
 from buckthornwall.pools import (
+    CachedPrefixes,
     Fleet,
-    HeldParts,
     LimitReports,
     Unreachable,
     UpstreamEntry,
@@ -74,8 +74,8 @@
     configuration in force, `change_revision` the revision of the newest change, and
     `read_age_ms` how long ago the store last answered here, `unbroken_ms` for how
     long it has done so without an outage. `loads` names upstreams with work from
-    this instance, `held` the shared parts of prompts that it has lately sent to
-    each, `unreachable` upstreams that it could lately not reach. `greets` asks for
+    this instance, `cached_prefixes` the shared parts of prompts that it has lately sent
+    to each, `unreachable` upstreams that it could lately not reach. `greets` asks for
     an answer: the sender does not know its zone's speaker. `crash_checksum` is that
     of what it knows of requests that crash upstreams. `limits` tells how many requests
     a second upstreams take, as they told the sender.
@@ -93,7 +93,7 @@
     unbroken_ms: int
     loads: dict[UpstreamId, Work]
     greets: bool = False
-    held: HeldParts = {}
+    cached_prefixes: CachedPrefixes = {}
     unreachable: list[UpstreamId] = []
     crash_checksum: int = 0
     limits: LimitReports = {}
@@ -103,9 +103,9 @@
     """What a speaker tells: its members all of it, other speakers its own zone.
 
     `count` is the number of instances that serve, and `loads` the sum of their
-    work: over the fleet if `is_fleet`, else over the zone; `held` are the shared parts
-    of prompts that they have lately sent to each upstream. `members` gives the
-    weight of each, `speakers` the speaker's address of each zone. `informed` is
+    work: over the fleet if `is_fleet`, else over the zone; `cached_prefixes` are the
+    shared parts of prompts that they have lately sent to each upstream. `members` gives
+    the weight of each, `speakers` the speaker's address of each zone. `informed` is
     the address of the instance with the highest `number` and `change_revision`, and
     `read_age_ms` how long ago the store last answered any of them, and
     `unbroken_ms` the longest time for which it has answered one of them without an
@@ -129,7 +129,7 @@
     read_age_ms: int
     unbroken_ms: int
     loads: dict[UpstreamId, Work]
-    held: HeldParts = {}
+    cached_prefixes: CachedPrefixes = {}
     age_ms: int = 0
     sequence: int = 0
     unreachable: Unreachable = {}
@@ -155,7 +155,7 @@
     if `is_fleet`, else over its zone. Unless `sequence` is 0, it also tells the work
     at upstreams and the parts sent there: `counts` and `parts` are packed
     (`buckthornwall.peers.packing`), by the places of upstreams in the digest of that
-    sequence; `loads` and `held` are those that its places do not name, and
+    sequence; `loads` and `cached_prefixes` are those that its places do not name, and
     `unreachable`, `crash_checksum` and `limits` are as in a digest.
     """
 
@@ -172,7 +172,7 @@
     counts: bytes = b""
     parts: bytes = b""
     loads: dict[UpstreamId, Work] = {}
-    held: HeldParts = {}
+    cached_prefixes: CachedPrefixes = {}
     unreachable: Unreachable = {}
     crash_checksum: int = 0
     limits: LimitReports = {}
--- a/packages/buckthornwall/src/buckthornwall/peers/packing.py
+++ b/packages/buckthornwall/src/buckthornwall/peers/packing.py
@@ -10,12 +10,17 @@
 from collections.abc import Iterable
 
 from buckthornwall.codes import PeerError, ResultCode
-from buckthornwall.pools import HeldParts
+from buckthornwall.pools import CachedPrefixes
 from buckthornwall.utils import UpstreamId
 
 from .messages import Work
 
-__all__ = ["pack_held", "pack_loads", "unpack_held", "unpack_loads"]
+__all__ = [
+    "pack_cached_prefixes",
+    "pack_loads",
+    "unpack_cached_prefixes",
+    "unpack_loads",
+]
 
 # Prompt tokens are read in pieces of hundreds; engines' memory holds hundreds of
 # thousands. Waits count from 200 ms on.
@@ -108,11 +113,13 @@
     return loads
 
 
-def pack_held(held: HeldParts, names: list[UpstreamId]) -> tuple[bytes, HeldParts]:
+def pack_cached_prefixes(
+    cached_prefixes: CachedPrefixes, names: list[UpstreamId]
+) -> tuple[bytes, CachedPrefixes]:
     """Return parts by the places of their engines, and those that do not fit so."""
     places = {name: place for place, name in enumerate(names)}
     rows, others = [], {}
-    for upstream, parts in held.items():
+    for upstream, parts in cached_prefixes.items():
         for part, tokens in parts:
             if upstream in places and _is_short_hex(part):
                 units = min(MOST_WORD, _units(tokens, PART_UNIT_TOKENS))
@@ -126,7 +133,7 @@
     return b"".join(packed), others
 
 
-def unpack_held(data: bytes, names: list[UpstreamId]) -> HeldParts:
+def unpack_cached_prefixes(data: bytes, names: list[UpstreamId]) -> CachedPrefixes:
     """Return parts by engine.
 
     Raises
@@ -140,13 +147,15 @@
     parts = reader.take(f"<{count}I")
     units = reader.take(f"<{count}H")
     reader.end()
-    held: HeldParts = {}
+    cached_prefixes: CachedPrefixes = {}
     for place, part, size in zip(places, parts, units, strict=True):
         if place >= len(names):
             raise PeerError(ResultCode.PEER_MESSAGE, "parts for another list")
         name = f"{part:0{HEX_ID_DIGITS}x}"
-        held.setdefault(names[place], []).append((name, size * PART_UNIT_TOKENS))
-    return held
+        cached_prefixes.setdefault(names[place], []).append(
+            (name, size * PART_UNIT_TOKENS)
+        )
+    return cached_prefixes
 
 
 class _Reader:
--- a/packages/buckthornwall/src/buckthornwall/peers/parts.py
+++ b/packages/buckthornwall/src/buckthornwall/peers/parts.py
@@ -1,6 +1,6 @@
 """Which shared parts of prompts a speaker tells of, and for how long."""
 
-from buckthornwall.pools import HeldParts, PrefixNews, merge_held
+from buckthornwall.pools import CachedPrefixes, PrefixUpdates, merge_cached_prefixes
 
 from .messages import Beacon
 
@@ -17,26 +17,26 @@
 
     Attributes
     ----------
-    of_zone, of_others : PrefixNews
+    of_zone, of_others : PrefixUpdates
         What the zone's members, and other zones' speakers, have told.
     """
 
     def __init__(self) -> None:
-        self.of_zone = PrefixNews(RETOLD_S)
-        self.of_others = PrefixNews(RETOLD_S)
+        self.of_zone = PrefixUpdates(RETOLD_S)
+        self.of_others = PrefixUpdates(RETOLD_S)
 
     def set_interval(self, seconds: float) -> None:
         """Take how far apart the words are in which this instance tells of parts.
 
         A part that is told for less than that is told in none of them.
         """
-        told_s = max(RETOLD_S, RETOLD_DIGESTS * seconds)
-        self.of_zone.told_s = self.of_others.told_s = told_s
+        repeat_s = max(RETOLD_S, RETOLD_DIGESTS * seconds)
+        self.of_zone.repeat_s = self.of_others.repeat_s = repeat_s
 
-    def told(self, own: Beacon, is_fleet: bool, now: float) -> HeldParts:
+    def told(self, own: Beacon, is_fleet: bool, now: float) -> CachedPrefixes:
         """Return the parts that the zone's instances, or the fleet's, tell of."""
-        held = dict(own.held)
-        merge_held(held, self.of_zone.told(now))
+        cached_prefixes = dict(own.cached_prefixes)
+        merge_cached_prefixes(cached_prefixes, self.of_zone.to_send(now))
         if is_fleet:
-            merge_held(held, self.of_others.told(now))
-        return held
+            merge_cached_prefixes(cached_prefixes, self.of_others.to_send(now))
+        return cached_prefixes
--- a/packages/buckthornwall/src/buckthornwall/peers/table.py
+++ b/packages/buckthornwall/src/buckthornwall/peers/table.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from buckthornwall.pools import (
-    HeldParts,
+    CachedPrefixes,
     LimitReports,
     Unreachable,
     merge_limit_reports,
@@ -83,7 +83,7 @@
         self.leavers.forget(beacon.address)
         if beacon.zone != self.zone:
             return False
-        self.parts.of_zone.receive(beacon.held, now)
+        self.parts.of_zone.receive(beacon.cached_prefixes, now)
         is_new = beacon.address not in self.members
         self.members[beacon.address] = Received(beacon, now, now)
         return is_new
@@ -118,11 +118,13 @@
                 digest, self.zones.get(digest.zone), now
             ):
                 self.zones[digest.zone] = Received.digest(digest, at)
-                self.parts.of_others.receive(digest.held, now)
+                self.parts.of_others.receive(digest.cached_prefixes, now)
         elif not digest.points_only and self._replaces(digest, self.speaker, now):
             self.speaker = Received.digest(digest, at)
 
-    def receive_heartbeat(self, heartbeat: Heartbeat, now: float) -> HeldParts | None:
+    def receive_heartbeat(
+        self, heartbeat: Heartbeat, now: float
+    ) -> CachedPrefixes | None:
         """Record that a speaker whose digest is known lives, and what is newest.
 
         Returns
@@ -149,11 +151,11 @@
         counts = read_counts(heartbeat, heard.message, heard.names)
         if counts is None:
             return None
-        heard.message.loads, held = counts
+        heard.message.loads, cached_prefixes = counts
         heard.message.unreachable = heartbeat.unreachable
         if not is_own_zone:
-            self.parts.of_others.receive(held, now)
-        return held
+            self.parts.of_others.receive(cached_prefixes, now)
+        return cached_prefixes
 
     def _replaces(self, digest: Digest, current: Received | None, now: float) -> bool:
         """Tell whether a digest counts in place of the last one of its zone.
@@ -268,7 +270,7 @@
             read_age_ms=newest.read_age_ms,
             unbroken_ms=newest.unbroken_ms,
             loads=sum_loads(parts, far),
-            held=self.parts.told(own, is_fleet, now),
+            cached_prefixes=self.parts.told(own, is_fleet, now),
             unreachable=sum_unreachable(parts, far),
             crash_checksum=own.crash_checksum,
             limits=newest.limits,
@@ -290,8 +292,8 @@
         """
         parts, far = self._parts(own), self._far(heartbeat.is_fleet)
         loads = sum_loads(parts, far)
-        held = self.parts.told(own, heartbeat.is_fleet, now)
-        self._counts.fill(heartbeat, loads, held)
+        cached_prefixes = self.parts.told(own, heartbeat.is_fleet, now)
+        self._counts.fill(heartbeat, loads, cached_prefixes)
         heartbeat.unreachable = sum_unreachable(parts, far)
 
     def _parts(self, own: Beacon) -> list[Beacon]:
--- a/packages/buckthornwall/src/buckthornwall/peers/tests/test_mutations.py
+++ b/packages/buckthornwall/src/buckthornwall/peers/tests/test_mutations.py
@@ -23,7 +23,7 @@
 def messages():
     """Return a beacon, a digest and a heartbeat with counts."""
     speaker, own = table(FIRST), beacon(FIRST, random_loads(20))
-    own.held = {UpstreamId("i-1"): [("00c0ffee", 900)]}
+    own.cached_prefixes = {UpstreamId("i-1"): [("00c0ffee", 900)]}
     digest = speaker.make_digest(own, True, 0.0)
     speaker.number(digest)
     heartbeat = speaker.make_heartbeat(own, True, 0.1)
--- a/packages/buckthornwall/src/buckthornwall/peers/tests/test_packing.py
+++ b/packages/buckthornwall/src/buckthornwall/peers/tests/test_packing.py
@@ -20,9 +20,9 @@
 )
 from buckthornwall.peers.pacing import MOST_DIGEST_S, WordForm, WordPacing
 from buckthornwall.peers.packing import (
-    pack_held,
+    pack_cached_prefixes,
     pack_loads,
-    unpack_held,
+    unpack_cached_prefixes,
     unpack_loads,
 )
 from buckthornwall.utils import UpstreamId, ZoneId
@@ -64,15 +64,18 @@
 
 
 def test_parts_come_back_and_those_of_other_forms_are_told_apart():
-    held = {E1: [("00c0ffee", 4000), ("s", 900)], UpstreamId("e9"): [("0badf00d", 64)]}
-    packed, others = pack_held(held, NAMES)
-    assert unpack_held(packed, NAMES) == {E1: [("00c0ffee", 4000)]}
+    cached_prefixes = {
+        E1: [("00c0ffee", 4000), ("s", 900)],
+        UpstreamId("e9"): [("0badf00d", 64)],
+    }
+    packed, others = pack_cached_prefixes(cached_prefixes, NAMES)
+    assert unpack_cached_prefixes(packed, NAMES) == {E1: [("00c0ffee", 4000)]}
     assert others == {E1: [("s", 900)], "e9": [("0badf00d", 64)]}
-    assert unpack_held(pack_held({}, NAMES)[0], NAMES) == {}
+    assert unpack_cached_prefixes(pack_cached_prefixes({}, NAMES)[0], NAMES) == {}
 
 
 COUNTS = pack_loads({E1: Work(1, {0: 64})}, NAMES)
-PARTS, _ = pack_held({E3: [("00c0ffee", 4000)]}, NAMES)
+PARTS, _ = pack_cached_prefixes({E3: [("00c0ffee", 4000)]}, NAMES)
 
 
 @pytest.mark.parametrize("data", [b"", b"\xff", COUNTS[:-1], COUNTS + b"\x00"])
@@ -84,14 +87,14 @@
 @pytest.mark.parametrize("data", [b"", PARTS[:-1], PARTS + b"\x00"])
 def test_bytes_that_are_no_parts_are_refused(data):
     with pytest.raises(PeerError):
-        unpack_held(data, NAMES)
+        unpack_cached_prefixes(data, NAMES)
 
 
 def test_counts_and_parts_of_another_list_are_refused():
     with pytest.raises(PeerError):
         unpack_loads(COUNTS, NAMES[:2])
     with pytest.raises(PeerError):
-        unpack_held(PARTS, NAMES[:2])
+        unpack_cached_prefixes(PARTS, NAMES[:2])
 
 
 WORKS = st.builds(
@@ -124,7 +127,7 @@
 
 @given(st.binary(max_size=80))
 def test_any_bytes_are_counts_or_are_refused(data):
-    for unpack in (unpack_loads, unpack_held):
+    for unpack in (unpack_loads, unpack_cached_prefixes):
         try:
             found = unpack(data, NAMES)
         except PeerError:
@@ -174,8 +177,8 @@
     first, second = table(FIRST), table(SECOND)
     second.receive_digest(told(first, beacon(FIRST, {E1: Work(1, {5: 320})})), 0.0)
     own = beacon(FIRST, {E1: Work(2, {5: 640}), E2: Work(1, {5: 64})})
-    own.held = {E2: [("00c0ffee", 4000)], E1: [("s", 900)]}
-    assert second.receive_heartbeat(counts(first, own, 0.2), 0.2) == own.held
+    own.cached_prefixes = {E2: [("00c0ffee", 4000)], E1: [("s", 900)]}
+    assert second.receive_heartbeat(counts(first, own, 0.2), 0.2) == own.cached_prefixes
     others = second.others_work(beacon(SECOND), 0.2)
     assert others[E1].pending_prefill == {5: 640}
     assert others[E2].requests == 1
@@ -224,13 +227,13 @@
     far.number(digest)
     first.receive_digest(digest, 0.0)
     own.loads = {E1: Work(7)}
-    own.held = {E1: [("00c0ffee", 4000)]}
+    own.cached_prefixes = {E1: [("00c0ffee", 4000)]}
     heartbeat = far.make_heartbeat(own, False, 0.1)
     far.add_counts(heartbeat, own, 0.1)
     first.receive_heartbeat(heartbeat, 0.1)
     whole = first.make_digest(beacon(FIRST), True, 0.1)
     assert whole.loads[E1].requests == 7
-    assert whole.held == own.held
+    assert whole.cached_prefixes == own.cached_prefixes
 
 
 def test_counts_of_a_large_fleet_take_a_quarter_of_its_digest():
--- a/packages/buckthornwall/src/buckthornwall/peers/tests/test_peers.py
+++ b/packages/buckthornwall/src/buckthornwall/peers/tests/test_peers.py
@@ -242,21 +242,24 @@
     """Most prompts reach an engine that others sent their shared part to."""
     first = table(FIRST)
     own = beacon(SECOND)
-    own.held = {ENGINE: [("s", 4000)]}
+    own.cached_prefixes = {ENGINE: [("s", 4000)]}
     first.receive_beacon(own, 0.0)
     mine = beacon(FIRST)
-    mine.held = {ENGINE: [("t", 900)]}
+    mine.cached_prefixes = {ENGINE: [("t", 900)]}
     zone_only = first.make_digest(mine, is_fleet=False, now=0.0)
-    assert sorted(zone_only.held[ENGINE]) == [("s", 4000), ("t", 900)]
+    assert sorted(zone_only.cached_prefixes[ENGINE]) == [("s", 4000), ("t", 900)]
 
 
 def test_parts_told_by_another_zone_reach_the_own_and_do_not_go_back():
     first, far = table(FIRST), PeerTable("10.0.0.9:1", 1.0, "far", 0.8, 0.1)
     theirs = beacon(far.address, zone="far")
-    theirs.held = {ENGINE: [("s", 4000)]}
+    theirs.cached_prefixes = {ENGINE: [("s", 4000)]}
     first.receive_digest(far.make_digest(theirs, is_fleet=False, now=0.0), 0.0)
-    assert first.make_digest(beacon(FIRST), True, 0.0).held == theirs.held
-    assert first.make_digest(beacon(FIRST), False, 0.0).held == {}
+    assert (
+        first.make_digest(beacon(FIRST), True, 0.0).cached_prefixes
+        == theirs.cached_prefixes
+    )
+    assert first.make_digest(beacon(FIRST), False, 0.0).cached_prefixes == {}
 
 
 @pytest.mark.parametrize("interval_s", [0.1, 0.7, 2.0])
@@ -265,10 +268,10 @@
     first = table(FIRST)
     first.parts.set_interval(interval_s)
     own = beacon(SECOND)
-    own.held = {ENGINE: [("s", 4000)]}
+    own.cached_prefixes = {ENGINE: [("s", 4000)]}
     first.receive_beacon(own, 0.0)
     digest = first.make_digest(beacon(FIRST), is_fleet=False, now=interval_s + 0.01)
-    assert digest.held == own.held
+    assert digest.cached_prefixes == own.cached_prefixes
 
 
 def test_a_heartbeat_counts_as_word_of_its_sender_and_of_nobody_else():
--- a/packages/buckthornwall/src/buckthornwall/pools/__init__.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/__init__.py
@@ -5,7 +5,7 @@
 `load`        how much work lies at an upstream, as far as is known here
 `waits`       how long requests there have waited for their first token
 `prefixes`    which shared parts of prompts an engine is likely to hold
-`prefix_news` what instances tell each other of that
+`prefix_updates` what instances tell each other of that
 `evacuation`  which availability zones get no new requests
 `health`      which upstreams fail requests, whatever their health check says
 `reachability` which upstreams cannot be reached, as instances tell each other
@@ -37,7 +37,7 @@
 from .load import LoadReport
 from .overload import retry_after_s
 from .placement import Choice, PlacementRequest, choose_engine, choose_service
-from .prefix_news import HeldParts, PrefixNews, merge_held
+from .prefix_updates import CachedPrefixes, PrefixUpdates, merge_cached_prefixes
 from .quiet import is_tight
 from .rate_limit import LimitReport, LimitReports, merge_limit_reports
 from .reachability import Unreachable, add_unreachable
@@ -50,7 +50,7 @@
     "Choice",
     "Fleet",
     "FleetMemory",
-    "HeldParts",
+    "CachedPrefixes",
     "LimitQueue",
     "LimitReport",
     "LimitReports",
@@ -58,7 +58,7 @@
     "Overload",
     "PlacementRequest",
     "PoolTable",
-    "PrefixNews",
+    "PrefixUpdates",
     "RefusalReason",
     "RequestTraits",
     "Unreachable",
@@ -73,7 +73,7 @@
     "expected_s",
     "find_overload",
     "is_tight",
-    "merge_held",
+    "merge_cached_prefixes",
     "merge_limit_reports",
     "record_decision",
     "retry_after_s",
--- a/packages/buckthornwall/src/buckthornwall/pools/expectation.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/expectation.py
@@ -33,7 +33,9 @@
 ) -> float:
     """Return how long the first token is expected to take at an engine."""
     resolution = traits.resolution
-    uncached = max(0, traits.prompt.prompt_tokens - view.prefixes.held(traits.prompt))
+    uncached = max(
+        0, traits.prompt.prompt_tokens - view.prefixes.cached_tokens(traits.prompt)
+    )
     pending_prefill = uncached + view.load.pending_prefill_before(resolution.rank)
     wait_s = pools.model(resolution.pool.id).read_s(pending_prefill)
     factor = pace_factor(pools, traits)
--- a/packages/buckthornwall/src/buckthornwall/pools/placement.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/placement.py
@@ -170,7 +170,7 @@
 
 def _holder(views: list[UpstreamView], prompt: PromptShape) -> UpstreamView:
     """Return the engine that is likely to hold most of a prompt."""
-    return max(views, key=lambda view: view.prefixes.held(prompt))
+    return max(views, key=lambda view: view.prefixes.cached_tokens(prompt))
 
 
 def _homes(by_id: Iterable[UpstreamId], wanted: PlacementRequest) -> list[UpstreamId]:
@@ -181,7 +181,9 @@
 
 def _copy_from(chosen: UpstreamView, holder: UpstreamView, prompt: PromptShape) -> str:
     """Return where the engine chosen may copy shared parts from, or ''."""
-    missing = holder.prefixes.held(prompt) - chosen.prefixes.held(prompt)
+    missing = holder.prefixes.cached_tokens(prompt) - chosen.prefixes.cached_tokens(
+        prompt
+    )
     return "" if missing < LEAST_COPIED_TOKENS else holder.entry.address
 
 
@@ -197,9 +199,9 @@
 ) -> _Offer:
     prompt = wanted.prompt
     shared = sum(segment.tokens for segment in prompt.segments[:-1])
-    held = view.prefixes.held(prompt)
-    uncached = max(0, prompt.prompt_tokens - held)
-    missing = max(0, shared - held)
+    cached = view.prefixes.cached_tokens(prompt)
+    uncached = max(0, prompt.prompt_tokens - cached)
+    missing = max(0, shared - cached)
     weight = min(MOST_WEIGHT, 1 + WEIGHT_STEP * place)
     ahead_s = _ahead_s(view, wanted, now)
     if _is_full(view, prompt):
--- a/packages/buckthornwall/src/buckthornwall/pools/prefix_news.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/prefix_updates.py
@@ -3,7 +3,7 @@
 One instance sees only its share of the prompts: of those that reached the home of
 their shared part, most were the first ones there from this instance, and not the
 first ones of all. What is told costs some bytes a prompt; what is not known makes a
-part that nobody has read look like one that is held.
+part that nobody has read look like one that is cached.
 """
 
 import itertools
@@ -11,34 +11,34 @@
 
 from buckthornwall.utils import UpstreamId
 
-__all__ = ["HeldParts", "PrefixNews", "merge_held"]
+__all__ = ["CachedPrefixes", "PrefixUpdates", "merge_cached_prefixes"]
 
 # By upstream, the parts that were sent there: id and tokens.
-HeldParts = dict[UpstreamId, list[tuple[str, int]]]
+CachedPrefixes = dict[UpstreamId, list[tuple[str, int]]]
 
 # Seconds for which a part is told, so that a lost datagram costs nothing.
-TOLD_S = 0.35
+REPEAT_S = 0.35
 # A part that is used again is told again after this long, so that others do not
 # take it to have left the engine's memory.
 REFRESH_S = 10.0
 # Shorter parts, in tokens, are read as quickly as they are copied, and would crowd the
 # others out of a message.
-LEAST_TOLD_TOKENS = 500
+MIN_SENT_TOKENS = 500
 # Parts in one message at most, the newest first; about 15 bytes each.
-MOST_TOLD = 96
+MAX_SENT_PREFIXES = 96
 
 
-class PrefixNews:
+class PrefixUpdates:
     """Parts that were sent to engines lately, each told for a while.
 
     Parameters
     ----------
-    told_s
+    repeat_s
         Seconds for which each is told.
     """
 
-    def __init__(self, told_s: float = TOLD_S) -> None:
-        self.told_s = told_s
+    def __init__(self, repeat_s: float = REPEAT_S) -> None:
+        self.repeat_s = repeat_s
         self._noted: dict[tuple[UpstreamId, str], tuple[int, float]] = {}
 
     def note(
@@ -46,7 +46,7 @@
     ) -> None:
         """Record that parts were sent to an engine at `now`."""
         for part, tokens in parts:
-            if tokens < LEAST_TOLD_TOKENS:
+            if tokens < MIN_SENT_TOKENS:
                 continue
             key = (upstream, part)
             before = self._noted.get(key)
@@ -54,21 +54,21 @@
                 self._noted.pop(key, None)  # the newest stand last
                 self._noted[key] = (tokens, now)
 
-    def receive(self, held: HeldParts, now: float) -> None:
+    def receive(self, cached_prefixes: CachedPrefixes, now: float) -> None:
         """Take what another instance told."""
-        for upstream, parts in held.items():
+        for upstream, parts in cached_prefixes.items():
             self.note(upstream, parts, now)
 
-    def told(self, now: float) -> HeldParts:
+    def to_send(self, now: float) -> CachedPrefixes:
         """Return what is to be told now."""
         self._forget(now)
-        held: HeldParts = {}
-        newest = itertools.islice(reversed(self._noted.items()), MOST_TOLD)
+        cached_prefixes: CachedPrefixes = {}
+        newest = itertools.islice(reversed(self._noted.items()), MAX_SENT_PREFIXES)
         for (upstream, part), (tokens, at) in newest:
-            if now - at > self.told_s:
+            if now - at > self.repeat_s:
                 break
-            held.setdefault(upstream, []).append((part, tokens))
-        return held
+            cached_prefixes.setdefault(upstream, []).append((part, tokens))
+        return cached_prefixes
 
     def _forget(self, now: float) -> None:
         while self._noted:
@@ -78,7 +78,7 @@
             del self._noted[key]
 
 
-def merge_held(total: HeldParts, part: HeldParts) -> None:
+def merge_cached_prefixes(total: CachedPrefixes, part: CachedPrefixes) -> None:
     """Add what one instance told to a total."""
     for upstream, parts in part.items():
         known = total.setdefault(upstream, [])
--- a/packages/buckthornwall/src/buckthornwall/pools/prefixes.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/prefixes.py
@@ -9,14 +9,14 @@
 
 from buckthornwall.routing import PromptShape
 
-__all__ = ["PrefixMemory"]
+__all__ = ["PrefixCacheEstimate"]
 
 # Engines keep running requests in the same memory; this share is left to
 # segments that were read for earlier ones.
 MEMORY_SHARE = 0.5
 
 
-class PrefixMemory:
+class PrefixCacheEstimate:
     """The segments read by one engine, the least recently used first.
 
     Parameters
@@ -27,7 +27,7 @@
 
     def __init__(self, capacity_tokens: int) -> None:
         self.memory_tokens = capacity_tokens
-        self.held_tokens = 0
+        self.occupied_tokens = 0
         self._segments: OrderedDict[str, int] = OrderedDict()
 
     def set_memory(self, capacity_tokens: int) -> None:
@@ -39,7 +39,7 @@
         """Tokens that segments of earlier requests may take."""
         return self.memory_tokens * MEMORY_SHARE
 
-    def held(self, prompt: PromptShape) -> int:
+    def cached_tokens(self, prompt: PromptShape) -> int:
         """Return how many leading tokens of a prompt lie there."""
         tokens = 0
         for segment in prompt.segments:
@@ -59,7 +59,7 @@
                 self._segments.move_to_end(segment)
             else:
                 self._segments[segment] = tokens
-                self.held_tokens += tokens
-        while self.held_tokens > self.capacity_tokens and self._segments:
+                self.occupied_tokens += tokens
+        while self.occupied_tokens > self.capacity_tokens and self._segments:
             _, tokens = self._segments.popitem(last=False)
-            self.held_tokens -= tokens
+            self.occupied_tokens -= tokens
--- a/packages/buckthornwall/src/buckthornwall/pools/table.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/table.py
@@ -20,7 +20,7 @@
 from .ledger import AdmissionLedger
 from .limit_queue import LimitQueue
 from .pace import Pace
-from .prefix_news import HeldParts, PrefixNews
+from .prefix_updates import CachedPrefixes, PrefixUpdates
 from .quiet import QuietEngines
 from .rate_limits import RateLimits
 from .reachability import Unreachable
@@ -69,7 +69,7 @@
         self.instances = 1.0
         self._ledgers: dict[PoolId, AdmissionLedger] = {}
         self._limit_queues: dict[PoolId, LimitQueue] = {}
-        self.news = PrefixNews()
+        self.prefix_updates = PrefixUpdates()
         self.evacuations = Evacuations()
 
     def adopt(self, entry: UpstreamEntry) -> bool:
@@ -127,11 +127,11 @@
         """Record that a prompt goes to an engine, and tell others of its segments."""
         view.prefixes.note(prompt)
         shared = [(segment.id, segment.tokens) for segment in prompt.segments[:-1]]
-        self.news.note(view.id, shared, self.clock.now())
+        self.prefix_updates.note(view.id, shared, self.clock.now())
 
-    def receive_held(self, held: HeldParts) -> None:
+    def receive_cached_prefixes(self, cached_prefixes: CachedPrefixes) -> None:
         """Take which segments other instances sent to engines."""
-        for upstream, segments in held.items():
+        for upstream, segments in cached_prefixes.items():
             view = self.views.get(upstream)
             if view is not None:
                 view.prefixes.receive(segments)
--- a/packages/buckthornwall/src/buckthornwall/pools/tests/test_load.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/tests/test_load.py
@@ -9,7 +9,7 @@
 )
 from buckthornwall.pools.overload import is_overloaded
 from buckthornwall.pools.pace import Pace
-from buckthornwall.pools.prefixes import PrefixMemory
+from buckthornwall.pools.prefixes import PrefixCacheEstimate
 
 from .helpers import POOL, ZONE, prompt
 
@@ -31,11 +31,11 @@
 
 
 def test_an_engine_holds_what_was_read_as_far_as_its_memory_goes():
-    memory = PrefixMemory(12_000)
+    memory = PrefixCacheEstimate(12_000)
     memory.note(prompt("s", "x"))
-    assert memory.held(prompt("s", "y")) == 4000
+    assert memory.cached_tokens(prompt("s", "y")) == 4000
     memory.note(prompt("t", "z"))
-    assert memory.held(prompt("s", "y")) == 0
+    assert memory.cached_tokens(prompt("s", "y")) == 0
 
 
 def test_a_pace_follows_what_is_seen():
--- a/packages/buckthornwall/src/buckthornwall/pools/tests/test_placement.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/tests/test_placement.py
@@ -21,7 +21,7 @@
     choice = choose(table, clock, prompt())
     assert choice.view.id == home
     assert choice.uncached_tokens == 5000
-    table.receive_held({home: [("s", 4000)]})
+    table.receive_cached_prefixes({home: [("s", 4000)]})
     choice = choose(table, clock, prompt())
     assert choice.view.id == home
     assert choice.uncached_tokens == 1000
@@ -32,7 +32,7 @@
     home = choose(table, clock, prompt()).view
     home.load.add_pending_prefill(5, 3_500)
     assert choose(table, clock, prompt()).view is not home
-    table.receive_held({home.id: [("s", 4000)]})
+    table.receive_cached_prefixes({home.id: [("s", 4000)]})
     assert choose(table, clock, prompt()).view is home
 
 
@@ -48,7 +48,7 @@
 
 def test_what_is_missing_is_copied_from_who_holds_it(table, clock):
     home = choose(table, clock, prompt()).view
-    table.receive_held({home.id: [("s", 4000)]})
+    table.receive_cached_prefixes({home.id: [("s", 4000)]})
     assert choose(table, clock, prompt()).copy_from == ""
     home.load.add_pending_prefill(5, 100_000)
     choice = choose(table, clock, prompt())
@@ -66,7 +66,7 @@
 
 def test_a_wait_well_within_the_target_keeps_a_prompt_at_home(table, clock):
     home = choose(table, clock, prompt()).view
-    table.receive_held({home.id: [("s", 4000)]})
+    table.receive_cached_prefixes({home.id: [("s", 4000)]})
     home.load.add_pending_prefill(5, 7_000)
     assert choose(table, clock, prompt()).view is not home
     assert choose(table, clock, prompt(), free_s=0.2).view is home
@@ -74,7 +74,7 @@
 
 def test_urgent_work_looks_past_what_is_read_after_it(table, clock):
     home = choose(table, clock, prompt()).view
-    table.receive_held({home.id: [("s", 4000)]})
+    table.receive_cached_prefixes({home.id: [("s", 4000)]})
     home.load.add_pending_prefill(5, 20_000)
     assert choose(table, clock, prompt(), rank=0).view is home
 
--- a/packages/buckthornwall/src/buckthornwall/pools/tests/test_quiet.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/tests/test_quiet.py
@@ -155,7 +155,7 @@
 def kept(table, clock):
     """Return one engine with tight streams, its prompt's home, and what tells so."""
     view = choose(table, clock, prompt()).view
-    table.receive_held({view.id: [("s", 4000)]})
+    table.receive_cached_prefixes({view.id: [("s", 4000)]})
     view.load.tight = 3
     more = {
         "kept": frozenset({view.id}),
--- a/packages/buckthornwall/src/buckthornwall/pools/tests/test_table.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/tests/test_table.py
@@ -40,7 +40,7 @@
     view = table.views["a"]
     assert view.load.in_flight(clock.now()) == 0
     assert view.load.total_pending_prefill() == 0
-    assert view.prefixes.held(PROMPT) == 0
+    assert view.prefixes.cached_tokens(PROMPT) == 0
     assert not view.health.ejected
     assert list(table.members(POOL)) == [view]
 
--- a/packages/buckthornwall/src/buckthornwall/pools/view.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/view.py
@@ -5,7 +5,7 @@
 from .entry import UpstreamEntry
 from .health import Health
 from .load import Load
-from .prefixes import PrefixMemory
+from .prefixes import PrefixCacheEstimate
 from .rate_limit import RateLimit
 from .reachability import Reachability
 
@@ -25,7 +25,7 @@
         self.entry = entry
         self.load = Load()
         self.health = Health()
-        self.prefixes = PrefixMemory(DEFAULT_MEMORY_TOKENS)
+        self.prefixes = PrefixCacheEstimate(DEFAULT_MEMORY_TOKENS)
         self.reachability = Reachability()
         self.rate_limit = RateLimit()
 
--- a/packages/buckthornwall/src/buckthornwall/router/core.py
+++ b/packages/buckthornwall/src/buckthornwall/router/core.py
@@ -129,7 +129,7 @@
         self.discovery.on_restart = self.forwarder.connections.abandon
         self.discovery.on_call = self._count_store_call
         self.peer_agent.on_work = self._work_told
-        self.peer_agent.on_held = self.pools.receive_held
+        self.peer_agent.on_cached_prefixes = self.pools.receive_cached_prefixes
         self.forwarder.account.describe_freshness = self.state_sync.describe_freshness
 
     @classmethod
@@ -213,7 +213,7 @@
             self.state_sync.read_age_ms(),
             int(self.discovery.unbroken_s() * 1000),
             loads,
-            held=self.pools.news.told(now),
+            cached_prefixes=self.pools.prefix_updates.to_send(now),
             unreachable=self.pools.unreachable(),
             crash_checksum=self.quarantine.checksum,
             limits=self.pools.rate_limits.reports(),
