--- a/packages/buckthornwall-standins/src/buckthornwall_standins/peers_sim/peer.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/peers_sim/peer.py
@@ -78,7 +78,7 @@
 
     Attributes
     ----------
-    behind_s : float
+    max_lag_s : float
         The longest time for which a newer change was there than in force here.
     """
 
@@ -88,7 +88,7 @@
         self.address = address
         self.zone = ZoneId(zone)
         self.state = PeerState.JOINING
-        self.behind_s = 0.0
+        self.max_lag_s = 0.0
         self.scope = trio.CancelScope()
         self.source = SimUpdateSource(simulation, address)
         self.pools = PoolTable(self.clock)
@@ -149,7 +149,7 @@
             number=self.discovery.table.number,
             change_revision=self.discovery.change_revision,
             read_age_ms=self.state_sync.read_age_ms(),
-            unbroken_ms=int(self.discovery.unbroken_s() * 1000),
+            unbroken_ms=int(self.discovery.store_uptime_s() * 1000),
             loads=self.simulation.make_loads(self.address),
             cached_prefixes=self.simulation.make_cached_prefixes(self.address),
             crash_checksum=self.quarantine.checksum,
@@ -185,8 +185,8 @@
         while True:
             await trio.sleep(LOOK_S)
             if self.state is not PeerState.JOINING:
-                behind_s = self.simulation.behind_s(self.discovery.table.number)
-                self.behind_s = max(self.behind_s, behind_s)
+                lag_s = self.simulation.lag_s(self.discovery.table.number)
+                self.max_lag_s = max(self.max_lag_s, lag_s)
 
     def kill(self) -> None:
         """End without a word."""
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/peers_sim/simulation.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/peers_sim/simulation.py
@@ -101,7 +101,7 @@
         self.reopened[zone] = self.number + 1
         self.change_once()
 
-    def behind_s(self, number: int) -> float:
+    def lag_s(self, number: int) -> float:
         """Return for how long a newer change than `number` has been there."""
         newer = self.number - number
         return trio.current_time() - self._changed_at[-newer] if newer > 0 else 0.0
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/peers_sim/soak.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/peers_sim/soak.py
@@ -176,9 +176,9 @@
         )
 
     def _check_one(self, peer: SimPeer) -> None:
-        behind_s = self.fleet.behind_s(peer.discovery.table.number)
-        self.verdict.furthest_s = max(self.verdict.furthest_s, behind_s)
-        if behind_s > LIMIT_S:
+        lag_s = self.fleet.lag_s(peer.discovery.table.number)
+        self.verdict.furthest_s = max(self.verdict.furthest_s, lag_s)
+        if lag_s > LIMIT_S:
             if not self.verdict.broken:
                 del self.history[:-SHOWN]
                 self.history = [*self.history, "-- broken --"]
@@ -189,13 +189,14 @@
     """Return how far behind an instance is, and what it goes by."""
     now = peer.clock.now()
     told = peer.agent.table.whole(peer.make_beacon(), now)
-    behind_s = peer.simulation.behind_s(peer.discovery.table.number)
+    lag_s = peer.simulation.lag_s(peer.discovery.table.number)
     return (
-        f"{peer.address} is {behind_s:.2f} s behind: speaks={peer.speaks} "
+        f"{peer.address} is {lag_s:.2f} s behind: speaks={peer.speaks} "
         f"speaker={peer.agent.table.speaker_address(now)} "
         f"staleness_s={peer.agent.table.staleness_s(now):.2f} "
         f"may_read={peer.state_sync.may_read()} "
-        f"read_s_ago={now - peer.discovery.read_at:.2f} away={peer.discovery.is_away} "
+        f"read_s_ago={now - peer.discovery.read_at:.2f} "
+        f"away={peer.discovery.is_store_unavailable} "
         f"number={peer.discovery.table.number} told={told.number} "
         f"informed={told.informed}"
     )
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/tests/test_router.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/tests/test_router.py
@@ -235,7 +235,7 @@
     await site.start(1)
     site.store.faults[""] = fault
     site.routers[1].store.drop_connection()
-    await site.until(lambda: site.routers[1].discovery.is_away)
+    await site.until(lambda: site.routers[1].discovery.is_store_unavailable)
     assert (await site.call("/order/x"))[0] == 200
     site.store.faults.clear()
     number = site.deployment.publish()
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/tests/test_succession.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/tests/test_succession.py
@@ -53,12 +53,12 @@
     fleet.start_zone("x", 3, 1)
     await trio.sleep(SETTLE_S)
     for peer in fleet.peers.values():
-        peer.behind_s = 0.0
+        peer.max_lag_s = 0.0
     return peers
 
 
 def furthest_behind_s(peers):
-    return max(peer.behind_s for peer in peers)
+    return max(peer.max_lag_s for peer in peers)
 
 
 @pytest.mark.parametrize("count", [3, 8, 21])
@@ -94,7 +94,7 @@
     await first.leave(NOTICE_S)
     await trio.sleep(SETTLE_S)
     for peer in peers:
-        peer.behind_s = 0.0
+        peer.max_lag_s = 0.0
     back = fleet.start(first.address, "z")
     await trio.sleep(RETURN_S)
     others = [peer for peer in peers if peer is not first]
@@ -127,7 +127,7 @@
             if peer is not leaving
         }
     assert leaving.address not in followed
-    assert newcomer.behind_s < STOP_LIMIT_S
+    assert newcomer.max_lag_s < STOP_LIMIT_S
 
 
 @pytest.mark.parametrize("count", [3, 21])
@@ -142,7 +142,7 @@
     leaving = next(peer for peer in peers if not peer.speaks)
     fleet.nursery.start_soon(leaving.leave, NOTICE_S)
     await trio.sleep(NOTICE_S - 0.1)
-    assert leaving.behind_s < STOP_LIMIT_S
+    assert leaving.max_lag_s < STOP_LIMIT_S
 
 
 async def test_the_word_of_a_dead_speaker_is_not_made_fresh_by_passing_it_on(
@@ -249,4 +249,4 @@
         await trio.sleep(0.005)
     second.kill()
     await trio.sleep(2.0)
-    assert third.behind_s < DEATH_LIMIT_S + 0.3
+    assert third.max_lag_s < DEATH_LIMIT_S + 0.3
--- a/packages/buckthornwall/src/buckthornwall/discovery/agent.py
+++ b/packages/buckthornwall/src/buckthornwall/discovery/agent.py
@@ -105,8 +105,8 @@
         self.read_once = False
         self.answered_at = clock.now()
         self.read_at = -math.inf
-        self.is_away = False
-        self._unbroken_since = clock.now()
+        self.is_store_unavailable = False
+        self._store_up_since = clock.now()
         self.on_change: Callable[[], None] = lambda: None
         self.on_gone: Callable[[UpstreamId], None] = lambda upstream: None
         self.on_restart: Callable[[UpstreamId], None] = lambda upstream: None
@@ -147,13 +147,13 @@
         """Wait while others read for this instance."""
         if self.may_read():
             return
-        self.is_away = False
+        self.is_store_unavailable = False
         while not self.may_read():
             # What was doubted while this instance read is not forgotten, or upstreams
             # that have ended would be tried here for seconds longer than by readers.
             self.settle()
             await trio.sleep(LOOK_S)
-        self.answered_at = self._unbroken_since = self.clock.now()
+        self.answered_at = self._store_up_since = self.clock.now()
 
     async def _next(self, need_all: bool) -> StoreUpdate:
         if need_all:
@@ -171,8 +171,11 @@
     def note_failure(self, error: PeerError) -> None:
         """Record that the source did not answer."""
         silent_s = self.clock.now() - self.answered_at
-        if not self.is_away and silent_s * MS_PER_S > self.settings.outage_ms:
-            self.is_away = True
+        if (
+            not self.is_store_unavailable
+            and silent_s * MS_PER_S > self.settings.outage_ms
+        ):
+            self.is_store_unavailable = True
             log_event(
                 "store_lost", "WARNING", detail=error, silent_ms=round(silent_s * 1000)
             )
@@ -181,10 +184,10 @@
         """Record that the source answered."""
         now = self.clock.now()
         if self.read_at == -math.inf:
-            self._unbroken_since = now
-        if self.is_away:
-            self.is_away = False
-            self._unbroken_since = now
+            self._store_up_since = now
+        if self.is_store_unavailable:
+            self.is_store_unavailable = False
+            self._store_up_since = now
             self._doubt_until = now + DOUBT_S
             self._settle_at = now + self.settings.settle_ms / MS_PER_S
             away_ms = round((now - self.answered_at) * MS_PER_S)
@@ -271,16 +274,16 @@
             log_event("zone_reopened", "WARNING", zone=zone, revision=update.revision)
             self.pools.rate_limits.assume_cold(self.pools.in_zone(zone))
 
-    def unbroken_s(self) -> float:
+    def store_uptime_s(self) -> float:
         """Return for how long the source has answered here without an outage.
 
         0 where it has not answered lately, or others read for this instance.
         """
         now = self.clock.now()
         fresh_s = self.settings.watch_ms / MS_PER_S + VOUCH_MARGIN_S
-        if self.is_away or now - self.read_at > fresh_s:
+        if self.is_store_unavailable or now - self.read_at > fresh_s:
             return 0.0
-        return now - self._unbroken_since
+        return now - self._store_up_since
 
     def settle(self) -> None:
         """Take what is still missing long enough after an outage to be gone."""
@@ -288,7 +291,7 @@
             doubted, self._doubted = self._doubted, set()
             self._remove(doubted)
 
-    def hear_unbroken(self, seconds: float) -> None:
+    def receive_store_uptime(self, seconds: float) -> None:
         """Believe the next answer where only this instance was cut off.
 
         Taken as an outage of the source, its own silence would keep upstreams that
--- a/packages/buckthornwall/src/buckthornwall/discovery/tests/test_agent.py
+++ b/packages/buckthornwall/src/buckthornwall/discovery/tests/test_agent.py
@@ -96,7 +96,7 @@
     agent.adopt(update(1, "a", "b", is_snapshot=True))
     away_for(agent, clock, 5.0)
     agent.adopt(update(2, removed=["a"]))
-    agent.hear_unbroken(30.0)
+    agent.receive_store_uptime(30.0)
     assert agent.watch_s() == 0.0
     agent.adopt(update(2))
     agent.settle()
@@ -109,7 +109,7 @@
     agent.adopt(update(1, "a", is_snapshot=True))
     away_for(agent, clock, 5.0)
     agent.adopt(update(2, removed=["a"]))
-    agent.hear_unbroken(9.0)
+    agent.receive_store_uptime(9.0)
     agent.adopt(update(3, "a"))
     agent.settle()
     assert list(agent.pools.views) == ["a"]
@@ -119,9 +119,9 @@
     agent.adopt(update(1, "a", is_snapshot=True))
     away_for(agent, clock, 5.0)
     agent.adopt(update(2, removed=["a"]))
-    agent.hear_unbroken(0.3)
+    agent.receive_store_uptime(0.3)
     clock.time += 1.8
-    agent.hear_unbroken(2.1)
+    agent.receive_store_uptime(2.1)
     agent.settle()
     assert list(agent.pools.views) == ["a"]
     clock.time += 0.4
@@ -130,21 +130,21 @@
 
 
 def test_answers_are_unbroken_since_the_last_outage(agent, clock):
-    assert agent.unbroken_s() == 0.0
+    assert agent.store_uptime_s() == 0.0
     agent.record_answer()
     clock.time += 1.0
     agent.record_answer()
     clock.time += 0.5
-    assert agent.unbroken_s() == pytest.approx(1.5)
+    assert agent.store_uptime_s() == pytest.approx(1.5)
     away_for(agent, clock, 5.0)
     clock.time += 0.7
-    assert agent.unbroken_s() == pytest.approx(0.7)
+    assert agent.store_uptime_s() == pytest.approx(0.7)
 
 
 def test_an_old_answer_vouches_for_nothing(agent, clock):
     agent.record_answer()
     clock.time += 4.0
-    assert agent.unbroken_s() == 0.0
+    assert agent.store_uptime_s() == 0.0
 
 
 def test_watches_are_short_while_removals_are_doubted(agent, clock):
--- a/packages/buckthornwall/src/buckthornwall/node/newest.py
+++ b/packages/buckthornwall/src/buckthornwall/node/newest.py
@@ -66,7 +66,7 @@
         After a freeze the sockets still hold what came meanwhile, oldest
         first, so only what is heard a while after waking counts.
         """
-        if self.members.own_state is not NodeState.READY or self.records.behind:
+        if self.members.own_state is not NodeState.READY or self.records.is_stale:
             return False
         alone = not self.members.members
         heard = max(self.heard_at, self.records.platform_ok_at or NEVER)
@@ -85,7 +85,7 @@
         has a limit; but where any is known, at least one must have answered,
         or a stale service alone would decide what is in force here.
         """
-        if self.store.view is None or self.records.behind:
+        if self.store.view is None or self.records.is_stale:
             return False
         heard = [
             member.last_heard is not None for member in self.members.members.values()
--- a/packages/buckthornwall/src/buckthornwall/node/records_agent.py
+++ b/packages/buckthornwall/src/buckthornwall/node/records_agent.py
@@ -54,7 +54,7 @@
         self._shown: dict[NodeId, tuple[int, str]] = {}
 
     @property
-    def behind(self) -> bool:
+    def is_stale(self) -> bool:
         """Whether a peer has shown records newer than those in force."""
         return any(self.store.is_newer(*shown) for shown in self._shown.values())
 
--- a/packages/buckthornwall/src/buckthornwall/router/core.py
+++ b/packages/buckthornwall/src/buckthornwall/router/core.py
@@ -211,7 +211,7 @@
             self.table.number,
             self.discovery.change_revision,
             self.state_sync.read_age_ms(),
-            int(self.discovery.unbroken_s() * 1000),
+            int(self.discovery.store_uptime_s() * 1000),
             loads,
             cached_prefixes=self.pools.prefix_updates.to_send(now),
             unreachable=self.pools.unreachable(),
--- a/packages/buckthornwall/src/buckthornwall/router/operators.py
+++ b/packages/buckthornwall/src/buckthornwall/router/operators.py
@@ -38,7 +38,10 @@
     views = router.pools.views.values()
     gauges = {
         "config_number": ("Configuration in force.", router.table.number),
-        "store_away": ("Whether the store does not answer.", router.discovery.is_away),
+        "store_away": (
+            "Whether the store does not answer.",
+            router.discovery.is_store_unavailable,
+        ),
         "store_calls": ("Calls to the store.", router.store.calls),
         "upstreams": ("Upstreams registered.", len(router.pools.views)),
         "upstreams_aside": (
@@ -91,7 +94,7 @@
         "state": router.state.name.lower(),
         "number": router.table.number,
         "store": {
-            "away": router.discovery.is_away,
+            "away": router.discovery.is_store_unavailable,
             "revision": router.discovery.revision,
             "answered_s_ago": round(now - router.discovery.answered_at, 3),
         },
--- a/packages/buckthornwall/src/buckthornwall/router/state_sync.py
+++ b/packages/buckthornwall/src/buckthornwall/router/state_sync.py
@@ -87,7 +87,7 @@
         while True:
             await trio.sleep(ASK_PEERS_S)
             fleet = self._fleet()
-            self.discovery.hear_unbroken(fleet.unbroken_ms / MS_PER_S)
+            self.discovery.receive_store_uptime(fleet.unbroken_ms / MS_PER_S)
             if self.should_ask(fleet):
                 started = self.clock.now()
                 await self.take_view(fleet.informed)
@@ -103,7 +103,7 @@
         now = self.clock.now()
         if self._behind_since is None:
             self._behind_since = now
-        reads = self.may_read() and not self.discovery.is_away
+        reads = self.may_read() and not self.discovery.is_store_unavailable
         return not reads or now - self._behind_since > BEHIND_S
 
     def _fleet(self) -> Digest:
