--- a/packages/buckthornwall/src/buckthornwall/forwarding/limit_gate.py
+++ b/packages/buckthornwall/src/buckthornwall/forwarding/limit_gate.py
@@ -47,7 +47,7 @@
         queue.record_arrival(rank, self.clock.now())
         if job.tried or not self.pools.is_limited(pool, regions):
             return self.choose(job)
-        if not queue.count_before(rank) and (choice := self._take(job)):
+        if not queue.count_ahead(rank) and (choice := self._take(job)):
             return choice
         return await self._wait(job)
 
@@ -70,7 +70,7 @@
         with queue.join(rank) as place:
             while self.clock.now() <= until:
                 if queue.is_next(place) and (choice := self._take(job)):
-                    queue.record_given()
+                    queue.record_grant()
                     return choice
                 await trio.sleep(POLL_INTERVAL_S)
         return None
@@ -79,7 +79,7 @@
         """Return how long a request would wait for a token, in seconds."""
         pool, regions = job.resolution.pool.id, job.resolution.regions
         wait_s = self.pools.limit_wait_s(pool, regions)
-        before = self.pools.limit_queue(pool).count_before(job.resolution.rank)
+        before = self.pools.limit_queue(pool).count_ahead(job.resolution.rank)
         if not before:
             return wait_s
         return wait_s + before * self.pools.limit_interval_s(pool, regions)
