--- a/packages/buckthornwall-standins/src/buckthornwall_standins/pool_sim/instance.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/pool_sim/instance.py
@@ -100,7 +100,7 @@
         tokens_per_event = self.pool.engine.tokens_per_event
         sent_at = self.clock.now()
         load.requests += 1
-        load.tight += traits.tight
+        load.pause_sensitive += traits.pause_sensitive
         load.memory += request.prompt.memory_tokens
         load.add_pending_prefill(rank, choice.uncached_tokens)
         load.waits.begin(rank, request, sent_at)
@@ -129,12 +129,15 @@
             if last_at is not None and not done:
                 gap_s = now - last_at
                 model.note_gap(
-                    gap_s, tokens_per_event, is_idle and was_idle, traits.tight
+                    gap_s,
+                    tokens_per_event,
+                    is_idle and was_idle,
+                    traits.pause_sensitive,
                 )
             last_at, was_idle = now, is_idle
             if done:
                 load.requests -= 1
-                load.tight -= traits.tight
+                load.pause_sensitive -= traits.pause_sensitive
                 load.memory -= request.prompt.memory_tokens
                 verdict = Verdict.FAILED if request.failed else Verdict.GOOD
                 self.pools.record_outcome(choice.view, verdict)
--- a/packages/buckthornwall/src/buckthornwall/forwarding/attempt.py
+++ b/packages/buckthornwall/src/buckthornwall/forwarding/attempt.py
@@ -91,7 +91,7 @@
     record_rate_limit: Callable[[UpstreamView, float], None]
     model: EngineModel
     event_silence_s: float | None = None
-    tight: bool = False
+    pause_sensitive: bool = False
 
     async def run(self) -> AttemptResult:
         """Make the attempt; load is counted while it lasts."""
@@ -109,7 +109,7 @@
         prompt = self.request.prompt
         memory = prompt.memory_tokens if prompt is not None else 0
         load.requests += 1
-        load.tight += self.tight
+        load.pause_sensitive += self.pause_sensitive
         load.memory += memory
         view.health.record_sent(self.clock.now())
         reply = None
@@ -117,7 +117,7 @@
             reply, result = await self._exchange(connection, pending_prefill)
         finally:
             load.requests -= 1
-            load.tight -= self.tight
+            load.pause_sensitive -= self.pause_sensitive
             load.memory -= memory
             pending_prefill.clear(is_served=False)
             if reply is None or reply.closes or reply.misdirected:
@@ -222,7 +222,9 @@
         pending_prefill: "_PendingPrefill",
     ) -> None:
         view = self.choice.view
-        watch = _StepWatch(view, self.model, self._tokens_per_event(), self.tight)
+        watch = _StepWatch(
+            view, self.model, self._tokens_per_event(), self.pause_sensitive
+        )
         while data := await self._next_data(connection):
             now = self.clock.now()
             view.reachability.record_answered(now)
--- a/packages/buckthornwall/src/buckthornwall/forwarding/forwarder.py
+++ b/packages/buckthornwall/src/buckthornwall/forwarding/forwarder.py
@@ -258,7 +258,7 @@
             record_rate_limit=self.pools.rate_limits.record,
             model=self.pools.model(job.resolution.pool.id),
             event_silence_s=self._event_silence_s(job),
-            tight=job.traits.tight,
+            pause_sensitive=job.traits.pause_sensitive,
         )
         self.account.placed(job, choice, expected_s(self.pools, job.traits, choice))
         job.runs += 1  # until it is known better, should this be cut short
--- a/packages/buckthornwall/src/buckthornwall/peers/messages.py
+++ b/packages/buckthornwall/src/buckthornwall/peers/messages.py
@@ -47,14 +47,14 @@
     """What instances have sent to one upstream and not yet got back.
 
     `requests` are in flight, `pending_prefill` are prompt tokens yet to be prefilled,
-    by rank, `tight` counts the requests that are streams whose pauses must be short,
-    and `oldest_ms` tells by rank how long the oldest has waited for its first token.
-    `memory` counts the tokens that they take in the engine's memory.
+    by rank, `pause_sensitive` counts the requests that are streams whose pauses must be
+    short, and `oldest_ms` tells by rank how long the oldest has waited for its first
+    token. `memory` counts the tokens that they take in the engine's memory.
     """
 
     requests: int = 0
     pending_prefill: dict[int, int] = {}
-    tight: int = 0
+    pause_sensitive: int = 0
     oldest_ms: dict[int, int] = {}
     memory: int = 0
 
--- a/packages/buckthornwall/src/buckthornwall/peers/packing.py
+++ b/packages/buckthornwall/src/buckthornwall/peers/packing.py
@@ -54,7 +54,7 @@
         struct.pack("<HB", len(names), len(ranks)),
         bytes(ranks),
         _words(work.requests for work in works),
-        _bytes(work.tight for work in works),
+        _bytes(work.pause_sensitive for work in works),
         _words(_units(work.memory, MEMORY_UNIT_TOKENS) for work in works),
     ]
     for rank in ranks:
@@ -83,7 +83,7 @@
         raise PeerError(ResultCode.PEER_MESSAGE, "counts for another list")
     ranks = reader.take(f"<{rank_count}B")
     requests = reader.take(f"<{count}H")
-    tight = reader.take(f"<{count}B")
+    pause_sensitive = reader.take(f"<{count}B")
     memory = reader.take(f"<{count}H")
     columns = [
         (rank, reader.take(f"<{count}H"), reader.take(f"<{count}B")) for rank in ranks
@@ -106,7 +106,7 @@
         loads[name] = Work(
             requests[place],
             pending_prefill,
-            tight[place],
+            pause_sensitive[place],
             oldest_ms,
             memory[place] * MEMORY_UNIT_TOKENS,
         )
--- a/packages/buckthornwall/src/buckthornwall/peers/tests/test_packing.py
+++ b/packages/buckthornwall/src/buckthornwall/peers/tests/test_packing.py
@@ -57,7 +57,7 @@
 def test_counts_out_of_range_are_the_largest_there_are():
     loads = {E2: Work(70_000, {300: 9, 1: 10**9}, 300, {1: 10**6}, 10**9)}
     (work,) = unpack_loads(pack_loads(loads, NAMES), NAMES).values()
-    assert (work.requests, work.tight) == (65_535, 255)
+    assert (work.requests, work.pause_sensitive) == (65_535, 255)
     assert work.pending_prefill == {1: 65_535 * 32}
     assert work.oldest_ms == {1: 255 * 20}
     assert work.memory == 65_535 * 256
@@ -116,7 +116,10 @@
     assert back.keys() == shown
     for name in shown:
         sent, got = loads[name], back[name]
-        assert (got.requests, got.tight) == (sent.requests, sent.tight)
+        assert (got.requests, got.pause_sensitive) == (
+            sent.requests,
+            sent.pause_sensitive,
+        )
         assert 0 <= got.memory - sent.memory < 256
         assert got.pending_prefill.keys() == sent.pending_prefill.keys()
         for rank, tokens in sent.pending_prefill.items():
--- a/packages/buckthornwall/src/buckthornwall/peers/work.py
+++ b/packages/buckthornwall/src/buckthornwall/peers/work.py
@@ -22,7 +22,11 @@
         if age >= LEAST_TOLD_WAIT_S
     }
     return Work(
-        load.requests, dict(load.pending_prefill), load.tight, oldest_ms, load.memory
+        load.requests,
+        dict(load.pending_prefill),
+        load.pause_sensitive,
+        oldest_ms,
+        load.memory,
     )
 
 
@@ -39,7 +43,7 @@
         total[upstream] = Work(
             before.requests + work.requests,
             pending_prefill,
-            before.tight + work.tight,
+            before.pause_sensitive + work.pause_sensitive,
             oldest_ms,
             before.memory + work.memory,
         )
@@ -62,7 +66,7 @@
     return PeerLoad(
         requests,
         pending_prefill,
-        max(0, work.tight - own.tight),
+        max(0, work.pause_sensitive - own.pause_sensitive),
         oldest_s,
         max(0, work.memory - own.memory),
     )
--- a/packages/buckthornwall/src/buckthornwall/pools/__init__.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/__init__.py
@@ -38,7 +38,7 @@
 from .overload import retry_after_s
 from .placement import Choice, PlacementRequest, choose_engine, choose_service
 from .prefix_updates import CachedPrefixes, PrefixUpdates, merge_cached_prefixes
-from .quiet import is_tight
+from .quiet import is_pause_sensitive
 from .rate_limit import LimitReport, LimitReports, merge_limit_reports
 from .reachability import Unreachable, add_unreachable
 from .refusal import Overload, RefusalReason, find_overload, record_decision
@@ -72,7 +72,7 @@
     "choose_upstream",
     "expected_s",
     "find_overload",
-    "is_tight",
+    "is_pause_sensitive",
     "merge_cached_prefixes",
     "merge_limit_reports",
     "record_decision",
--- a/packages/buckthornwall/src/buckthornwall/pools/decision.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/decision.py
@@ -53,9 +53,11 @@
     route = traits.resolution.route
     # A stream that may not pause stays away from engines in need, if it can.
     steady = [view for view in views if not view.rate_limit.is_limited(now)] or views
-    split = pools.quiet(pool.id).split(steady, now, route if traits.tight else None)
+    split = pools.quiet(pool.id).split(
+        steady, now, route if traits.pause_sensitive else None
+    )
     wanted = _wanted(pools, traits, split, zone)
-    compared = split.open_to(traits.id, now) if traits.tight else views
+    compared = split.open_to(traits.id, now) if traits.pause_sensitive else views
     choice = choose_engine(compared, wanted, now)
     if choice is None or not _has_deficit(pools, traits, choice, now):
         return choice
@@ -77,7 +79,7 @@
         target_s=target_s,
         spread_key=traits.id,
         model=pools.model(pool.id),
-        kept=frozenset() if traits.tight else split.kept_ids,
+        kept=frozenset() if traits.pause_sensitive else split.kept_ids,
         tokens_per_event=pool.engine.tokens_per_event,
         most_pause_s=pools.quiet(pool.id).most_pause_s,
     )
@@ -91,7 +93,7 @@
     Only what is more urgent than others that were let in: with all that is late spread
     over all engines, no room was left for what is least urgent.
     """
-    if traits.tight:
+    if traits.pause_sensitive:
         return False
     target_s = traits.resolution.route.target_s
     wait_s = expected_s(pools, traits, choice)
--- a/packages/buckthornwall/src/buckthornwall/pools/load.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/load.py
@@ -23,15 +23,16 @@
 class PeerLoad:
     """What other instances have sent there and not yet got back.
 
-    `pending_prefill` gives the prompt tokens still to be read, by rank, and `tight` how
-    many of the requests are streams whose pauses must be short. `oldest_s` tells,
-    by rank, how long the oldest request has waited for its first token, in seconds.
-    `memory` counts the tokens that the requests take in the engine's memory.
+    `pending_prefill` gives the prompt tokens still to be read, by rank, and
+    `pause_sensitive` how many of the requests are streams whose pauses must be short.
+    `oldest_s` tells, by rank, how long the oldest request has waited for its first
+    token, in seconds. `memory` counts the tokens that the requests take in the engine's
+    memory.
     """
 
     requests: int = 0
     pending_prefill: dict[int, int] = field(default_factory=dict)
-    tight: int = 0
+    pause_sensitive: int = 0
     oldest_s: dict[int, float] = field(default_factory=dict)
     memory: int = 0
 
@@ -46,7 +47,7 @@
     ----------
     requests : int
         Requests of this instance in flight there.
-    tight : int
+    pause_sensitive : int
         Those of them whose pauses must be short.
     pending_prefill : dict
         By rank, the prompt tokens of this instance sent there whose first
@@ -61,7 +62,7 @@
 
     def __init__(self) -> None:
         self.requests = 0
-        self.tight = 0
+        self.pause_sensitive = 0
         self.pending_prefill: dict[int, int] = {}
         self.memory = 0
         self.waits = Waits()
@@ -84,11 +85,11 @@
         else:
             self.pending_prefill.pop(rank, None)
 
-    def tight_all(self) -> int:
+    def total_pause_sensitive(self) -> int:
         """Return the streams there whose pauses must be short."""
-        return self.tight + self.peers.tight
+        return self.pause_sensitive + self.peers.pause_sensitive
 
-    def memory_all(self) -> int:
+    def total_memory_tokens(self) -> int:
         """Return the tokens of memory that requests there take."""
         return self.memory + self.peers.memory
 
--- a/packages/buckthornwall/src/buckthornwall/pools/placement.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/placement.py
@@ -50,10 +50,10 @@
 ZONE_S = 0.0012
 # An engine that is still warming up: part of the seconds left.
 COLD_SHARE = 0.08
-# A prompt that would stretch the pauses of tight streams too far counts, for each of
-# them, as a wait of this part of its own target: little where few are there, more than
-# any wait where many are. Shut to all prompts that harm at all, engines kept would
-# stand half idle in small pools.
+# A prompt that would stretch the pauses of pause-sensitive streams too far counts, for
+# each of them, as a wait of this part of its own target: little where few are there,
+# more than any wait where many are. Shut to all prompts that harm at all, engines kept
+# would stand half idle in small pools.
 HARM_TARGET_SHARE = 0.3
 # Another zone, and warming up, at a plain service: as shares of its slots.
 SERVICE_ZONE_SHARE = 0.1
@@ -216,18 +216,18 @@
 
 
 def _harm(view: UpstreamView, wanted: PlacementRequest, uncached: int) -> float:
-    """Return what a prompt does to tight streams of an engine, in seconds."""
+    """Return what a prompt does to pause-sensitive streams of an engine, in seconds."""
     pending_prefill = view.load.total_pending_prefill() + uncached
     pause_s = wanted.model.pause_s(wanted.tokens_per_event, pending_prefill)
     if pause_s <= SAFE_PAUSE_SHARE * wanted.most_pause_s:
         return 0.0
-    streams = max(1, view.load.tight_all())
+    streams = max(1, view.load.total_pause_sensitive())
     return HARM_TARGET_SHARE * wanted.target_s * streams
 
 
 def _is_full(view: UpstreamView, prompt: PromptShape) -> bool:
     """Tell whether an engine has no memory left for a prompt."""
-    needed = view.load.memory_all() + prompt.memory_tokens
+    needed = view.load.total_memory_tokens() + prompt.memory_tokens
     return needed > MOST_MEMORY * view.prefixes.memory_tokens
 
 
--- a/packages/buckthornwall/src/buckthornwall/pools/quiet.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/quiet.py
@@ -4,8 +4,8 @@
 each piece stretches a step. Where a stream's contract allows no event to wait
 for that many stretched steps, or where its longest answer takes more of them than
 its timeout allows, it cannot be kept beside long prompts at all, whatever the
-order of urgency. Such streams are *tight*: they go to a few engines of their own,
-as many as they fill. Who else may go there is a matter of cost (`placement`).
+order of urgency. Such streams are *pause-sensitive*: they go to a few engines of their
+own, as many as they fill. Who else may go there is a matter of cost (`placement`).
 """
 
 import math
@@ -18,23 +18,24 @@
 
 from .view import UpstreamView
 
-__all__ = ["QuietEngines", "Split", "is_tight"]
+__all__ = ["QuietEngines", "Split", "is_pause_sensitive"]
 
-# A stream is tight if an event of long steps takes more than this part of its longest
-# pause: one gap in ten is longer than those steps, and a stream has dozens of gaps.
+# A stream is pause-sensitive if an event of long steps takes more than this part of its
+# longest pause: one gap in ten is longer than those steps, and a stream has dozens of
+# gaps.
 SAFE_PAUSE_SHARE = 0.8
 # Quiet engines are filled to this part of their slots: what one loss cuts off stays
 # bounded, and a burst fits.
 FILL_SHARE = 0.4
 # Demand below this part of a stream is the rest of a decay, not a stream.
 LEAST_DEMAND = 0.02
-# At most this part of a pool is kept for tight streams.
+# At most this part of a pool is kept for pause-sensitive streams.
 MOST_SHARE = 1 / 3
 # Demand falls off with this time constant, so that the set does not flap.
 DECAY_S = 5.0
 
 
-def is_tight(
+def is_pause_sensitive(
     route: RequestRoute, pool: Pool, prompt: PromptShape | None, model: EngineModel
 ) -> bool:
     """Tell whether a stream cannot be kept beside the reading of long prompts.
@@ -58,9 +59,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Split:
-    """The engines kept for tight streams, and the others of a pool.
+    """The engines kept for pause-sensitive streams, and the others of a pool.
 
-    `overflow` is the part of the tight streams that the engines kept have no room for.
+    `overflow` is the part of the pause-sensitive streams that the engines kept have no
+    room for.
     """
 
     kept: list[UpstreamView]
@@ -73,7 +75,7 @@
         return frozenset(view.id for view in self.kept)
 
     def open_to(self, key: str, now: float) -> list[UpstreamView]:
-        """Return the engines that a tight stream may go to.
+        """Return the engines that a pause-sensitive stream may go to.
 
         Those that overflow are drawn by their key: sent to the few engines kept that
         were last told to have a free slot, they waited there for each other until
@@ -89,7 +91,7 @@
 
 
 class QuietEngines:
-    """Which engines of one pool are kept for tight streams.
+    """Which engines of one pool are kept for pause-sensitive streams.
 
     Every instance comes to nearly the same set: it is taken from the head of a
     hash order, and only its size depends on the counts.
@@ -122,7 +124,7 @@
 
     @property
     def most_pause_s(self) -> float:
-        """The shortest of the longest pauses that tight streams allow.
+        """The shortest of the longest pauses that pause-sensitive streams allow.
 
         By contract, not by what came here: one of many instances sees a stream that
         must not pause every few seconds, and until its first one would send long
@@ -149,8 +151,8 @@
         now
             The time in seconds.
         arriving
-            Route of a tight stream that is to be placed now: the first one of all
-            finds an engine kept for it, or would run beside the reading of prompts
+            Route of a pause-sensitive stream that is to be placed now: the first one of
+            all finds an engine kept for it, or would run beside the reading of prompts
             that no engine holds yet.
         """
         if arriving is not None:
@@ -183,7 +185,8 @@
         # A stream beside long prompts lasts longer than it would on a quiet engine.
         slowdown = self.model.reading_step_s / self.model.quiet_step_s
         running = arriving + sum(
-            view.load.tight_all() / (1 if view.id in self._kept else slowdown)
+            view.load.total_pause_sensitive()
+            / (1 if view.id in self._kept else slowdown)
             for view in views
         )
         faded = self._demand * math.exp((self._demand_at - now) / DECAY_S)
--- a/packages/buckthornwall/src/buckthornwall/pools/table.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/table.py
@@ -180,7 +180,7 @@
                 log_event("engine_speed", pool=pool, **model.describe())
 
     def quiet(self, pool: PoolId) -> QuietEngines:
-        """Return which engines of a pool are kept for tight streams."""
+        """Return which engines of a pool are kept for pause-sensitive streams."""
         if pool not in self._quiet:
             self._quiet[pool] = QuietEngines(pool, self.model(pool))
         return self._quiet[pool]
--- a/packages/buckthornwall/src/buckthornwall/pools/tests/helpers.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/tests/helpers.py
@@ -52,7 +52,7 @@
     return PlacementRequest(shape, rank, ZONE, free_s, 1.0, key, EngineModel(), **more)
 
 
-def traits(shape, tier=1, target_s=0.6, tight=False):
+def traits(shape, tier=1, target_s=0.6, pause_sensitive=False):
     """Return the traits of a stream of an ordinary team."""
     route = RequestRoute(
         id=RouteId(f"tier-{tier}"),
@@ -71,4 +71,4 @@
     )
     pool = Pool(POOL, "/", 10, EngineTraits(4, 300_000, 5))
     resolution = Resolution(route, pool, TeamId("t"), 1, 1)
-    return RequestTraits("r", shape, resolution, tight)
+    return RequestTraits("r", shape, resolution, pause_sensitive)
--- a/packages/buckthornwall/src/buckthornwall/pools/tests/test_cold.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/tests/test_cold.py
@@ -107,7 +107,7 @@
     pools.rate_limits.update_shares(ALONE, ALONE)
     clock.time += 1.0
     pools.views["warm"].load.requests = 30
-    stream = traits(prompt("", shared_tokens=0, own_tokens=100), tight=True)
+    stream = traits(prompt("", shared_tokens=0, own_tokens=100), pause_sensitive=True)
     choice = choose_upstream(pools, stream, frozenset(), ZONE, clock.now())
     assert choice.view.id == "warm"
 
--- a/packages/buckthornwall/src/buckthornwall/pools/tests/test_quiet.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/tests/test_quiet.py
@@ -6,7 +6,7 @@
 from buckthornwall.pools import (
     PoolTable,
     choose_engine,
-    is_tight,
+    is_pause_sensitive,
 )
 from buckthornwall.routing import (
     AnswerForm,
@@ -24,7 +24,7 @@
 from .helpers import POOL, adopt, choose, prompt, wanted
 
 
-def tight_route(max_pause_s=0.12):
+def pause_sensitive_route(max_pause_s=0.12):
     return RequestRoute(
         id=RouteId("r"),
         host="h",
@@ -59,42 +59,56 @@
     ("tokens_per_event", "max_pause_s", "expected"),
     [(4, 0.12, True), (3, 0.13, True), (3, 0.14, False), (4, 0.5, False)],
 )
-def test_a_stream_is_tight_if_reading_beside_it_breaks_its_pauses(
+def test_a_stream_is_pause_sensitive_if_reading_beside_it_breaks_its_pauses(
     tokens_per_event, max_pause_s, expected
 ):
     pool = Pool(POOL, "/", 10, EngineTraits(32, 100_000, tokens_per_event))
     shape = prompt_of(500, 90)
-    assert is_tight(tight_route(max_pause_s), pool, shape, EngineModel()) is expected
+    assert (
+        is_pause_sensitive(
+            pause_sensitive_route(max_pause_s), pool, shape, EngineModel()
+        )
+        is expected
+    )
 
 
 def test_a_stream_that_is_mostly_prompt_is_not_kept_with_those_that_must_not_pause():
     """It brings to such engines what they are kept free of."""
     pool = Pool(POOL, "/", 10, EngineTraits(32, 100_000, 4))
-    assert is_tight(tight_route(0.12), pool, prompt_of(800, 90), EngineModel())
-    assert not is_tight(tight_route(0.12), pool, prompt_of(900, 90), EngineModel())
+    assert is_pause_sensitive(
+        pause_sensitive_route(0.12), pool, prompt_of(800, 90), EngineModel()
+    )
+    assert not is_pause_sensitive(
+        pause_sensitive_route(0.12), pool, prompt_of(900, 90), EngineModel()
+    )
 
 
 @pytest.mark.parametrize("speed", [0.5, 1.0, 2.0])
-def test_engines_of_other_speeds_make_other_streams_tight(speed):
+def test_engines_of_other_speeds_make_other_streams_pause_sensitive(speed):
     """Four tokens of 45 ms break a pause of 0.2 s; four of 22 do not, of 90 by far."""
     pool = Pool(POOL, "/", 10, EngineTraits(32, 100_000, 4))
     model = shown(0.045 / speed)
     pause_s = 0.2
-    tight = is_tight(tight_route(pause_s), pool, prompt_of(500, 60), model)
-    assert tight is (speed <= 1.0)
+    pause_sensitive = is_pause_sensitive(
+        pause_sensitive_route(pause_s), pool, prompt_of(500, 60), model
+    )
+    assert pause_sensitive is (speed <= 1.0)
 
 
 @pytest.mark.parametrize(
     ("tokens", "longest_answer", "expected"),
     [(500, 400, True), (500, 300, False), (4500, 400, False)],
 )
-def test_a_stream_is_tight_if_its_answer_would_outlast_its_timeout(
+def test_a_stream_is_pause_sensitive_if_its_answer_would_outlast_its_timeout(
     tokens, longest_answer, expected
 ):
     """The route gives 9 s; a stream that brings a long prompt is none of these."""
     pool = Pool(POOL, "/", 10, EngineTraits(32, 100_000, 1))
     shape = prompt_of(tokens, longest_answer)
-    assert is_tight(tight_route(0.5), pool, shape, EngineModel()) is expected
+    assert (
+        is_pause_sensitive(pause_sensitive_route(0.5), pool, shape, EngineModel())
+        is expected
+    )
 
 
 def test_quiet_engines_grow_with_their_streams_and_shrink_slowly(clock):
@@ -105,17 +119,17 @@
     quiet = table.quiet(POOL)
     split = quiet.split(views, clock.now())
     assert (len(split.kept), len(split.others)) == (0, 12)
-    views[3].load.tight = 12  # beside long prompts, where they take longer
+    views[3].load.pause_sensitive = 12  # beside long prompts, where they take longer
     split = quiet.split(views, clock.now())
     assert (len(split.kept), len(split.others)) == (1, 11)
-    views[3].load.tight = 0
-    split.kept[0].load.tight = 10
+    views[3].load.pause_sensitive = 0
+    split.kept[0].load.pause_sensitive = 10
     grown = quiet.split(views, clock.now())
     assert len(grown.kept) == 3
     assert grown.kept[0] is split.kept[0]
-    split.kept[0].load.tight = 500
+    split.kept[0].load.pause_sensitive = 500
     assert len(quiet.split(views, clock.now()).kept) == 4
-    split.kept[0].load.tight = 0
+    split.kept[0].load.pause_sensitive = 0
     clock.time += 1
     assert len(quiet.split(views, clock.now()).kept) == 4
     clock.time += 60
@@ -133,9 +147,9 @@
         adopt(table, f"e{number}", 10)
     views = list(table.members(POOL))
     quiet = table.quiet(POOL)
-    kept = quiet.split(views, clock.now(), tight_route()).kept
+    kept = quiet.split(views, clock.now(), pause_sensitive_route()).kept
     assert quiet.split(views, clock.now()).overflow == 0
-    kept[0].load.tight = 32
+    kept[0].load.pause_sensitive = 32
     split = quiet.split(views, clock.now())
     assert (len(split.kept), split.overflow) == (4, 0.5)
     for view in split.kept[1:]:
@@ -145,18 +159,23 @@
     assert 150 < everywhere < 250
 
 
-def test_the_first_tight_stream_of_all_finds_an_engine_kept_for_it(table, clock):
+def test_the_first_pause_sensitive_stream_of_all_finds_an_engine_kept_for_it(
+    table, clock
+):
     """Those of the first second ran for 8 s beside the first prompts of a day."""
     views = list(table.members(POOL))
-    assert len(table.quiet(POOL).split(views, clock.now(), tight_route()).kept) == 1
+    assert (
+        len(table.quiet(POOL).split(views, clock.now(), pause_sensitive_route()).kept)
+        == 1
+    )
 
 
 @pytest.fixture
 def kept(table, clock):
-    """Return one engine with tight streams, its prompt's home, and what tells so."""
+    """Return an engine that runs pause-sensitive streams, and the request fields."""
     view = choose(table, clock, prompt()).view
     table.receive_cached_prefixes({view.id: [("s", 4000)]})
-    view.load.tight = 3
+    view.load.pause_sensitive = 3
     more = {
         "kept": frozenset({view.id}),
         "tokens_per_event": 4,
@@ -196,7 +215,7 @@
 
 def test_a_pool_too_small_to_be_split_is_left_whole(table, clock):
     views = list(table.members(POOL))[:2]
-    views[0].load.tight = 9
+    views[0].load.pause_sensitive = 9
     assert table.quiet(POOL).split(views, clock.now()).kept == []
 
 
--- a/packages/buckthornwall/src/buckthornwall/pools/tests/test_reachability.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/tests/test_reachability.py
@@ -16,7 +16,7 @@
 from buckthornwall.utils import TeamId
 
 from .helpers import POOL, adopt, choose, prompt
-from .test_quiet import tight_route
+from .test_quiet import pause_sensitive_route
 
 
 def test_what_was_found_is_told_for_a_while_and_not_after_an_answer():
@@ -89,7 +89,7 @@
         if view.id != "lost":
             view.load.requests = view.entry.slots
             view.load.add_pending_prefill(0, 500_000)
-    route = replace(tight_route(0.5), tier=2)
+    route = replace(pause_sensitive_route(0.5), tier=2)
     pool = Pool(POOL, "/", 10, EngineTraits(4, 300_000, 4))
     resolution = Resolution(route, pool, TeamId("t"), DEFAULT_TEAM_TIER, 1)
     traits = RequestTraits("r", prompt(), resolution, False)
--- a/packages/buckthornwall/src/buckthornwall/pools/traits.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/traits.py
@@ -4,7 +4,7 @@
 
 from buckthornwall.routing import PromptShape, Resolution, RoutedRequest
 
-from .quiet import is_tight
+from .quiet import is_pause_sensitive
 from .table import PoolTable
 
 __all__ = ["RequestTraits"]
@@ -14,14 +14,14 @@
 class RequestTraits:
     """What decisions know of a request.
 
-    `prompt` is None for a plain service. `tight` tells that it is a stream which
-    cannot be kept beside the reading of long prompts.
+    `prompt` is None for a plain service. `pause_sensitive` tells that it is a stream
+    which cannot be kept beside the reading of long prompts.
     """
 
     id: str
     prompt: PromptShape | None
     resolution: Resolution
-    tight: bool
+    pause_sensitive: bool
 
     @classmethod
     def of(
@@ -30,5 +30,7 @@
         """Return the traits of a request whose route and pool are known."""
         pool = resolution.pool
         model = pools.model(pool.id)
-        tight = is_tight(resolution.route, pool, request.prompt, model)
-        return cls(request.id, request.prompt, resolution, tight)
+        pause_sensitive = is_pause_sensitive(
+            resolution.route, pool, request.prompt, model
+        )
+        return cls(request.id, request.prompt, resolution, pause_sensitive)
