--- a/packages/buckthornwall-standins/src/buckthornwall_standins/pool_sim/instance.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/pool_sim/instance.py
@@ -96,7 +96,7 @@
     ) -> None:
         """Count a request at its engine until it ends."""
         load, rank = choice.view.load, traits.resolution.rank
-        pace, model = self.pools.pace(POOL), self.pools.model(POOL)
+        calibration, model = self.pools.wait_calibration(POOL), self.pools.model(POOL)
         tokens_per_event = self.pool.engine.tokens_per_event
         sent_at = self.clock.now()
         load.requests += 1
@@ -115,7 +115,7 @@
             if request.failed:
                 return
             load.take_report(engine.report(), now)
-            pace.note(rank, choice.wait_s, now - sent_at)
+            calibration.record(rank, choice.wait_s, now - sent_at)
             if choice.is_first and not choice.copy_from:
                 model.note_first(choice.uncached_tokens, now - sent_at)
 
--- a/packages/buckthornwall/src/buckthornwall/forwarding/forwarder.py
+++ b/packages/buckthornwall/src/buckthornwall/forwarding/forwarder.py
@@ -285,7 +285,9 @@
         if first_at >= sent_at:  # else an earlier attempt brought the first event
             pool = job.resolution.pool.id
             seen_s = first_at - sent_at
-            self.pools.pace(pool).note(job.resolution.rank, choice.wait_s, seen_s)
+            self.pools.wait_calibration(pool).record(
+                job.resolution.rank, choice.wait_s, seen_s
+            )
             if choice.is_first and not choice.copy_from:
                 self.pools.model(pool).note_first(choice.uncached_tokens, seen_s)
 
--- a/packages/buckthornwall/src/buckthornwall/pools/expectation.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/expectation.py
@@ -25,7 +25,7 @@
 def pace_factor(pools: PoolTable, traits: RequestTraits) -> float:
     """Return what a wait by the counts is multiplied by for a request."""
     resolution = traits.resolution
-    return pools.pace(resolution.pool.id).factor(resolution.rank)
+    return pools.wait_calibration(resolution.pool.id).factor(resolution.rank)
 
 
 def expected_at_s(
--- a/packages/buckthornwall/src/buckthornwall/pools/table.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/table.py
@@ -19,12 +19,12 @@
 from .health import Verdict
 from .ledger import AdmissionLedger
 from .limit_queue import LimitQueue
-from .pace import Pace
 from .prefix_updates import CachedPrefixes, PrefixUpdates
 from .quiet import QuietEngines
 from .rate_limits import RateLimits
 from .reachability import Unreachable
 from .view import UpstreamView
+from .wait_calibration import WaitCalibration
 
 __all__ = ["PoolTable"]
 
@@ -63,7 +63,7 @@
         self.views: dict[UpstreamId, UpstreamView] = {}
         self.rate_limits = RateLimits(clock, self.views)
         self._members: dict[PoolId, dict[UpstreamId, UpstreamView]] = {}
-        self._paces: dict[PoolId, Pace] = {}
+        self._wait_calibrations: dict[PoolId, WaitCalibration] = {}
         self._models: dict[PoolId, EngineModel] = {}
         self._quiet: dict[PoolId, QuietEngines] = {}
         self.instances = 1.0
@@ -161,9 +161,9 @@
             for view in self.members(pool)
         )
 
-    def pace(self, pool: PoolId) -> Pace:
+    def wait_calibration(self, pool: PoolId) -> WaitCalibration:
         """Return how a pool's first tokens compare with the counts."""
-        return self._paces.setdefault(pool, Pace())
+        return self._wait_calibrations.setdefault(pool, WaitCalibration())
 
     def ledger(self, pool: PoolId) -> AdmissionLedger:
         """Return what was let in and refused of a pool's requests lately."""
--- a/packages/buckthornwall/src/buckthornwall/pools/tests/test_load.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/tests/test_load.py
@@ -1,4 +1,4 @@
-"""Tests of load, likely memory, pace and refusal."""
+"""Tests of load, likely memory, wait calibration and refusal."""
 
 import pytest
 
@@ -8,8 +8,8 @@
     UpstreamState,
 )
 from buckthornwall.pools.overload import is_overloaded
-from buckthornwall.pools.pace import Pace
 from buckthornwall.pools.prefixes import PrefixCacheEstimate
+from buckthornwall.pools.wait_calibration import WaitCalibration
 
 from .helpers import POOL, ZONE, prompt
 
@@ -39,10 +39,10 @@
 
 
 def test_a_pace_follows_what_is_seen():
-    pace = Pace()
+    calibration = WaitCalibration()
     for _ in range(200):
-        pace.note(5, 0.1, 0.3)
-    assert pace.factor(5) == pytest.approx(3.0, abs=0.1)
+        calibration.record(5, 0.1, 0.3)
+    assert calibration.factor(5) == pytest.approx(3.0, abs=0.1)
 
 
 def test_nobody_is_refused_while_half_of_the_pool_is_free(table, clock):
--- a/packages/buckthornwall/src/buckthornwall/pools/tests/test_overload.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/tests/test_overload.py
@@ -18,7 +18,7 @@
 
 def learn_pace(table, rank, factor):
     for _ in range(300):
-        table.pace(POOL).note(rank, 1.0, factor)
+        table.wait_calibration(POOL).record(rank, 1.0, factor)
 
 
 def decide(table, clock, wanted):
