--- a/packages/buckthornwall-standins/src/buckthornwall_standins/peers_sim/peer.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/peers_sim/peer.py
@@ -9,7 +9,7 @@
 from buckthornwall.pools import FleetMemory, PoolTable
 from buckthornwall.quarantine import QuarantineSettings, QuarantineTable
 from buckthornwall.router.state_sync import StateSync
-from buckthornwall.routing import Pool, PoolId, Published, RoutingTable
+from buckthornwall.routing import Pool, PoolId, PublishedConfig, RoutingTable
 from buckthornwall.utils import Incarnation, NodeId, TrioClock, ZoneId
 
 from .network import SimSocket, SimViews
@@ -68,9 +68,9 @@
         )
 
 
-def decode_number(raw: bytes) -> Published:
+def decode_number(raw: bytes) -> PublishedConfig:
     """Return a configuration that holds its number and one pool."""
-    return Published(number=int(raw), pools=(SIM_POOL,))
+    return PublishedConfig(number=int(raw), pools=(SIM_POOL,))
 
 
 class SimPeer:
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/pool_sim/instance.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/pool_sim/instance.py
@@ -14,9 +14,9 @@
     record_decision,
 )
 from buckthornwall.routing import (
-    EngineTraits,
+    EngineSpec,
     Pool,
-    Published,
+    PublishedConfig,
     RoutedRequest,
     RoutingTable,
 )
@@ -49,10 +49,12 @@
         self.clock = clock
         self.pools = PoolTable(clock)
         speed = engines[0].speed
-        traits = EngineTraits(speed.slots, speed.memory_tokens, speed.tokens_per_event)
+        traits = EngineSpec(speed.slots, speed.memory_tokens, speed.tokens_per_event)
         self.pool = Pool(POOL, "/", 100, traits)
         self.table = RoutingTable()
-        self.table.adopt(Published(1, tuple(t.route() for t in traffic), (self.pool,)))
+        self.table.adopt(
+            PublishedConfig(1, tuple(t.route() for t in traffic), (self.pool,))
+        )
         for engine in engines:
             self.register(engine.id, speed)
 
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/pool_sim/request.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/pool_sim/request.py
@@ -5,11 +5,11 @@
 from dataclasses import dataclass, field, replace
 
 from buckthornwall.routing import (
-    AnswerForm,
     PoolId,
     PoolShare,
     PromptShape,
     RequestRoute,
+    ResponseMode,
 )
 from buckthornwall.utils import RouteId
 
@@ -64,8 +64,8 @@
             host="h",
             path_prefix=f"/{self.name}/",
             shares=(PoolShare(POOL, 1.0),),
-            form=AnswerForm.EVENTS,
-            repeatable=False,
+            response_mode=ResponseMode.EVENT_STREAM,
+            retryable=False,
             resumable=False,
             timeout_s=self.deadline_s,
             target_s=self.target_s,
--- a/packages/buckthornwall/src/buckthornwall/discovery/agent.py
+++ b/packages/buckthornwall/src/buckthornwall/discovery/agent.py
@@ -7,7 +7,7 @@
 
 from buckthornwall.codes import PeerError, RecordError
 from buckthornwall.pools import PoolTable
-from buckthornwall.routing import Published, RoutingTable
+from buckthornwall.routing import PublishedConfig, RoutingTable
 from buckthornwall.telemetry import log_event
 from buckthornwall.utils import (
     Backoff,
@@ -88,7 +88,7 @@
         self,
         settings: DiscoverySettings,
         source: UpdateSource,
-        decode: Callable[[bytes], Published],
+        decode: Callable[[bytes], PublishedConfig],
         table: RoutingTable,
         pools: PoolTable,
         clock: Clock,
--- a/packages/buckthornwall/src/buckthornwall/discovery/tests/test_agent.py
+++ b/packages/buckthornwall/src/buckthornwall/discovery/tests/test_agent.py
@@ -6,7 +6,7 @@
 from buckthornwall.codes import PeerError, RecordError, ResultCode
 from buckthornwall.discovery import DiscoveryAgent, DiscoverySettings, StoreUpdate
 from buckthornwall.pools import PoolTable, UpstreamEntry, UpstreamState
-from buckthornwall.routing import Pool, PoolId, Published, RoutingTable
+from buckthornwall.routing import Pool, PoolId, PublishedConfig, RoutingTable
 from buckthornwall.utils import TrioClock, UpstreamId, ZoneId
 
 POOL = PoolId("drafts")
@@ -25,10 +25,10 @@
     )
 
 
-def decode(raw: bytes) -> Published:
+def decode(raw: bytes) -> PublishedConfig:
     if not raw.isdigit():
         raise RecordError(ResultCode.RECORDS_MALFORMED, "not a number")
-    return Published(number=int(raw), pools=(Pool(POOL, "/health", 10),))
+    return PublishedConfig(number=int(raw), pools=(Pool(POOL, "/health", 10),))
 
 
 @pytest.fixture
@@ -211,9 +211,9 @@
     assert agent.pools.evacuations.zones() == {"z": 5}
 
 
-def cold_decode(raw: bytes) -> Published:
+def cold_decode(raw: bytes) -> PublishedConfig:
     pool = Pool(POOL, "/health", 10, cold_s=3.0, cold_per_s=9.7)
-    return Published(number=int(raw), pools=(pool,))
+    return PublishedConfig(number=int(raw), pools=(pool,))
 
 
 def cold(agent) -> set[str]:
--- a/packages/buckthornwall/src/buckthornwall/forwarding/attempt.py
+++ b/packages/buckthornwall/src/buckthornwall/forwarding/attempt.py
@@ -12,9 +12,9 @@
 from buckthornwall.http1 import ClientConnection, ExchangeError, ExchangeFailure
 from buckthornwall.pools import Choice, UpstreamView
 from buckthornwall.routing import (
-    AnswerForm,
     PromptShape,
     Resolution,
+    ResponseMode,
     RoutedRequest,
 )
 from buckthornwall.utils import Clock
@@ -190,8 +190,8 @@
         reply: Reply,
         pending_prefill: "_PendingPrefill",
     ) -> tuple[Reply | None, AttemptResult]:
-        form = self.resolution.route.form
-        if reply.good and form is AnswerForm.EVENTS:
+        response_mode = self.resolution.route.response_mode
+        if reply.good and response_mode is ResponseMode.EVENT_STREAM:
             await self._relay_events(connection, reply, pending_prefill)
             return reply, AttemptResult(AttemptEnd.DONE)
         body = await self._read_whole(connection)
--- a/packages/buckthornwall/src/buckthornwall/forwarding/forwarder.py
+++ b/packages/buckthornwall/src/buckthornwall/forwarding/forwarder.py
@@ -18,7 +18,7 @@
 )
 from buckthornwall.quarantine import QuarantineTable, fingerprint_of
 from buckthornwall.routing import (
-    AnswerForm,
+    ResponseMode,
     RoutedRequest,
     RoutingTable,
 )
@@ -297,7 +297,7 @@
         On one that the upstream closed meanwhile a request is lost, and it
         cannot be told that it was not run.
         """
-        if self._is_repeatable(job):
+        if self._is_retryable(job):
             return float("inf")
         return self.settings.once_idle_ms / 1000
 
@@ -307,7 +307,7 @@
             return None
         route = job.resolution.route
         limit_s = SILENCE_TARGETS * route.target_s
-        if route.form is AnswerForm.EVENTS:
+        if route.response_mode is ResponseMode.EVENT_STREAM:
             limit_s = max(
                 STREAM_SILENCE_TARGETS * route.target_s,
                 SILENCE_WAITS * expected_s(self.pools, job.traits, choice),
@@ -323,13 +323,13 @@
     def _may_run_again(self, job: Job) -> bool:
         """Tell whether the next attempt need not be the last."""
         runs = job.runs + 1
-        return self._is_repeatable(job) and runs < job.resolution.route.max_runs
+        return self._is_retryable(job) and runs < job.resolution.route.max_runs
 
-    def _is_repeatable(self, job: Job) -> bool:
+    def _is_retryable(self, job: Job) -> bool:
         route = job.resolution.route
-        if route.form is AnswerForm.EVENTS:
+        if route.response_mode is ResponseMode.EVENT_STREAM:
             return route.resumable
-        return route.repeatable
+        return route.retryable
 
     def _may_go_on(self, job: Job, result: AttemptResult) -> bool:
         """Tell whether another upstream may be tried after this end."""
@@ -341,7 +341,7 @@
             return True
         if result.end is AttemptEnd.NOT_RUN:
             return self._spend(job)
-        if not self._is_repeatable(job) or job.runs >= job.resolution.route.max_runs:
+        if not self._is_retryable(job) or job.runs >= job.resolution.route.max_runs:
             return False
         if not self._spend(job):
             return False
--- a/packages/buckthornwall/src/buckthornwall/forwarding/tests/conftest.py
+++ b/packages/buckthornwall/src/buckthornwall/forwarding/tests/conftest.py
@@ -10,11 +10,11 @@
 from buckthornwall.pools import PoolTable, UpstreamEntry, UpstreamState
 from buckthornwall.quarantine import QuarantineSettings, QuarantineTable
 from buckthornwall.routing import (
-    AnswerForm,
     Pool,
     PoolShare,
-    Published,
+    PublishedConfig,
     RequestRoute,
+    ResponseMode,
     RoutedRequest,
     RoutingTable,
 )
@@ -30,8 +30,8 @@
 
     async def forward(
         *scripts,
-        form=AnswerForm.WHOLE,
-        repeatable=True,
+        response_mode=ResponseMode.COMPLETE,
+        retryable=True,
         max_runs=3,
         timeout_s=2.0,
         reserve=50.0,
@@ -47,9 +47,9 @@
             host="h",
             path_prefix="/",
             shares=(PoolShare(POOL, 1.0),),
-            form=form,
-            repeatable=repeatable,
-            resumable=repeatable and form is AnswerForm.EVENTS,
+            response_mode=response_mode,
+            retryable=retryable,
+            resumable=retryable and response_mode is ResponseMode.EVENT_STREAM,
             timeout_s=timeout_s,
             target_s=0.2,
             max_pause_s=0.1,
@@ -57,7 +57,7 @@
             tier=1,
             needs_key=False,
         )
-        table.adopt(Published(1, (route,), (Pool(POOL, "/", 10),)))
+        table.adopt(PublishedConfig(1, (route,), (Pool(POOL, "/", 10),)))
         forward.addresses = []
         for number, script in enumerate(scripts):
             address = script if isinstance(script, str) else await raw_upstream(*script)
--- a/packages/buckthornwall/src/buckthornwall/forwarding/tests/test_forwarder.py
+++ b/packages/buckthornwall/src/buckthornwall/forwarding/tests/test_forwarder.py
@@ -19,18 +19,18 @@
 
 
 async def test_what_was_not_run_goes_to_another_upstream(forward):
-    answer = await forward([NOT_RUN], [whole()], repeatable=False)
+    answer = await forward([NOT_RUN], [whole()], retryable=False)
     assert answer.status == 200
     assert forward.arrivals() == [1, 1]
 
 
 async def test_an_unreachable_upstream_costs_no_retry(forward):
-    answer = await forward("127.0.0.1:1", [whole()], repeatable=False, reserve=0.0)
+    answer = await forward("127.0.0.1:1", [whole()], retryable=False, reserve=0.0)
     assert answer.status == 200
 
 
 async def test_a_call_that_may_have_run_is_not_repeated(forward):
-    answer = await forward([None], [whole()], repeatable=False)
+    answer = await forward([None], [whole()], retryable=False)
     assert (answer.status, answer.run) == (502, "unknown")
     assert forward.arrivals() == [1, 0]
 
@@ -60,14 +60,14 @@
     most urgent streams were answered 421 in seconds, and 128 of them refused with 503
     after one attempt, since that spent the repeats (code=3001 detail=421 tried=1).
     """
-    answer = await forward([MISDIRECTED], [whole()], repeatable=False)
+    answer = await forward([MISDIRECTED], [whole()], retryable=False)
     assert answer.status == 200
     assert forward.pools.unreachable() == ["u0"]
     assert [view.id for view in forward.pools.usable(POOL, set())] == ["u1"]
 
 
 async def test_nobody_who_runs_it_means_not_run_and_when_to_come_back(forward):
-    answer = await forward([NOT_RUN], [NOT_RUN], repeatable=False)
+    answer = await forward([NOT_RUN], [NOT_RUN], retryable=False)
     assert (answer.status, answer.run) == (503, "no")
     assert float(answer.headers[b"Retry-After"]) > 0
 
@@ -117,7 +117,7 @@
 
 
 async def test_a_caller_is_answered_at_its_routes_timeout(forward):
-    answer = await forward([5.0, whole()], repeatable=False, timeout_s=0.2)
+    answer = await forward([5.0, whole()], retryable=False, timeout_s=0.2)
     assert (answer.status, answer.run) == (504, "unknown")
 
 
@@ -155,7 +155,7 @@
     monkeypatch.setattr(QuarantineTable, "is_refused", lambda *arguments: True)
     monkeypatch.setattr(QuarantineTable, "record_refused", lambda *arguments: None)
     monkeypatch.setattr(QuarantineTable, "crashes", lambda *arguments: 3)
-    answer = await forward([whole()], repeatable=False)
+    answer = await forward([whole()], retryable=False)
     assert (answer.status, answer.run) == (503, "no")
     assert json.loads(answer.body)["code"] == 2007
     assert float(answer.headers[b"Retry-After"]) == 600
--- a/packages/buckthornwall/src/buckthornwall/forwarding/tests/test_streams.py
+++ b/packages/buckthornwall/src/buckthornwall/forwarding/tests/test_streams.py
@@ -4,20 +4,20 @@
 
 from buckthornwall.http1 import AnswerCut
 from buckthornwall.routing import (
-    AnswerForm,
+    ResponseMode,
 )
 
 from .helpers import event, stream
 
 
 async def test_a_stream_passes_by_whole_events(forward):
-    answer = await forward([stream(1, 2, 3)], form=AnswerForm.EVENTS)
+    answer = await forward([stream(1, 2, 3)], response_mode=ResponseMode.EVENT_STREAM)
     assert answer.body == event(1) + event(2) + event(3)
     assert answer.ended
 
 
 async def test_what_was_expected_of_a_stream_is_compared_with_what_was_seen(forward):
-    await forward([0.1, stream(1, 2)], form=AnswerForm.EVENTS)
+    await forward([0.1, stream(1, 2)], response_mode=ResponseMode.EVENT_STREAM)
     text, _ = forward.metrics.render("text/plain")
     assert b'buckthornwall_first_token_error_seconds_count{tier="1"} 1' in text
     assert b'first_token_error_seconds_bucket{le="0.05",tier="1"} 0' in text
@@ -26,7 +26,9 @@
 
 async def test_a_resumable_stream_goes_on_after_its_last_event(forward):
     answer = await forward(
-        [stream(1, 2, end=False), b""], [stream(3, 4)], form=AnswerForm.EVENTS
+        [stream(1, 2, end=False), b""],
+        [stream(3, 4)],
+        response_mode=ResponseMode.EVENT_STREAM,
     )
     assert answer.body == event(1) + event(2) + event(3) + event(4)
     assert answer.ended
@@ -38,20 +40,27 @@
 ):
     """No reset tells of it: the connection stays open and brings nothing more."""
     answer = await forward(
-        [stream(1, 2, end=False), 5.0, b""], [stream(3, 4)], form=AnswerForm.EVENTS
+        [stream(1, 2, end=False), 5.0, b""],
+        [stream(3, 4)],
+        response_mode=ResponseMode.EVENT_STREAM,
     )
     assert answer.body == event(1) + event(2) + event(3) + event(4)
     assert answer.ended
 
 
 async def test_a_resumable_stream_that_never_begins_is_begun_elsewhere(forward):
-    answer = await forward([5.0, b""], [stream(1, 2)], form=AnswerForm.EVENTS)
+    answer = await forward(
+        [5.0, b""], [stream(1, 2)], response_mode=ResponseMode.EVENT_STREAM
+    )
     assert answer.body == event(1) + event(2)
 
 
 async def test_a_silent_stream_that_may_not_be_resumed_is_waited_for(forward):
     answer = await forward(
-        [0.9, stream(1, 2)], [stream(1)], form=AnswerForm.EVENTS, repeatable=False
+        [0.9, stream(1, 2)],
+        [stream(1)],
+        response_mode=ResponseMode.EVENT_STREAM,
+        retryable=False,
     )
     assert answer.body == event(1) + event(2)
     assert forward.arrivals() == [1, 0]
@@ -59,7 +68,9 @@
 
 async def test_events_that_come_again_are_left_out(forward):
     answer = await forward(
-        [stream(1, 2, end=False), b""], [stream(2, 3)], form=AnswerForm.EVENTS
+        [stream(1, 2, end=False), b""],
+        [stream(2, 3)],
+        response_mode=ResponseMode.EVENT_STREAM,
     )
     assert answer.body == event(1) + event(2) + event(3)
 
@@ -69,8 +80,8 @@
         await forward(
             [stream(1, end=False), b""],
             [stream(2)],
-            form=AnswerForm.EVENTS,
-            repeatable=False,
+            response_mode=ResponseMode.EVENT_STREAM,
+            retryable=False,
         )
     assert forward.arrivals() == [1, 0]
 
@@ -78,6 +89,8 @@
 async def test_an_event_cut_in_the_middle_is_not_passed_on(forward):
     part = b"5\r\nid: 9\r\n"
     answer = await forward(
-        [stream(1, end=False) + part, b""], [stream(2)], form=AnswerForm.EVENTS
+        [stream(1, end=False) + part, b""],
+        [stream(2)],
+        response_mode=ResponseMode.EVENT_STREAM,
     )
     assert answer.body == event(1) + event(2)
--- a/packages/buckthornwall/src/buckthornwall/platform/published.py
+++ b/packages/buckthornwall/src/buckthornwall/platform/published.py
@@ -6,15 +6,15 @@
 
 from buckthornwall.codes import RecordError, ResultCode
 from buckthornwall.routing import (
-    AnswerForm,
-    CallerLimits,
-    EngineTraits,
+    ClientLimits,
+    EngineSpec,
     Pool,
     PoolId,
     PoolShare,
-    Published,
+    PublishedConfig,
     RequestRoute,
-    TeamGrant,
+    ResponseMode,
+    TeamConfig,
 )
 from buckthornwall.utils import RegionId, RouteId, TeamId
 
@@ -91,7 +91,7 @@
     tenants: list[_Tenant] = []
 
 
-def decode_published(value: bytes) -> Published:
+def decode_published(value: bytes) -> PublishedConfig:
     """Return one whole version of the configuration.
 
     Raises
@@ -103,7 +103,7 @@
         config = msgspec.json.decode(value, type=_Config)
     except msgspec.DecodeError as error:
         raise RecordError(ResultCode.RECORDS_MALFORMED, str(error)) from error
-    return Published(
+    return PublishedConfig(
         number=config.version,
         routes=tuple(_route(route) for route in config.routes),
         pools=tuple(_pool(service) for service in config.services),
@@ -119,8 +119,8 @@
         host=route.host.lower(),
         path_prefix=route.path_prefix,
         shares=_shares(route),
-        form=AnswerForm.EVENTS if is_stream else AnswerForm.WHOLE,
-        repeatable=route.kind == IDEMPOTENT or (is_stream and route.resumable),
+        response_mode=ResponseMode.EVENT_STREAM if is_stream else ResponseMode.COMPLETE,
+        retryable=route.kind == IDEMPOTENT or (is_stream and route.resumable),
         resumable=is_stream and route.resumable,
         timeout_s=route.timeout_ms / MS_PER_S,
         target_s=route.target_latency_ms / MS_PER_S,
@@ -146,9 +146,9 @@
 
 
 def _pool(service: _Service) -> Pool:
-    traits = None
+    engine = None
     if service.engine is not None:
-        traits = EngineTraits(
+        engine = EngineSpec(
             slots=service.engine.slots,
             memory_tokens=service.engine.kv_capacity,
             tokens_per_event=service.engine.stride,
@@ -157,14 +157,14 @@
         id=PoolId(service.name),
         health_path=service.health_path,
         max_connections=service.max_connections,
-        engine=traits,
+        engine=engine,
         cold_s=service.cold_start_s,
         cold_per_s=service.cold_per_s,
     )
 
 
-def _team(tenant: _Tenant) -> TeamGrant:
-    return TeamGrant(
+def _team(tenant: _Tenant) -> TeamConfig:
+    return TeamConfig(
         TeamId(tenant.name),
         tuple(tenant.api_keys),
         tenant.priority,
@@ -172,10 +172,10 @@
     )
 
 
-def _limits(limits: _Limits | None) -> CallerLimits:
+def _limits(limits: _Limits | None) -> ClientLimits:
     if limits is None:
-        return CallerLimits()
-    return CallerLimits(
+        return ClientLimits()
+    return ClientLimits(
         max_head_bytes=limits.max_header_bytes,
         max_body_bytes=limits.max_body_bytes,
         head_timeout_s=limits.header_timeout_ms / MS_PER_S,
--- a/packages/buckthornwall/src/buckthornwall/platform/tests/test_wire.py
+++ b/packages/buckthornwall/src/buckthornwall/platform/tests/test_wire.py
@@ -9,7 +9,7 @@
 from buckthornwall.http1 import IncomingRequest, ReplyHead
 from buckthornwall.platform import PlatformCodec, decode_published, decode_request
 from buckthornwall.pools import LoadReport, UpstreamEntry, UpstreamState
-from buckthornwall.routing import AnswerForm, PoolId
+from buckthornwall.routing import PoolId, ResponseMode
 from buckthornwall.utils import TeamId, UpstreamId, ZoneId
 
 PREFIX = b"x-buckthornwall-"
@@ -49,7 +49,7 @@
         1460,
         80,
     )
-    assert request.prompt.shared_key == "91"
+    assert request.prompt.affinity_key == "91"
 
 
 @pytest.mark.parametrize(
@@ -172,12 +172,12 @@
     published = decode_published(CONFIG)
     stream, order = published.routes
     assert published.number == 7
-    assert (stream.form, stream.repeatable, stream.host) == (
-        AnswerForm.EVENTS,
+    assert (stream.response_mode, stream.retryable, stream.host) == (
+        ResponseMode.EVENT_STREAM,
         True,
         "h",
     )
-    assert not order.repeatable
+    assert not order.retryable
     assert [share.weight for share in order.shares] == [90, 10]
     assert published.pools[0].engine.memory_tokens == 1000
     assert published.limits.idle_timeout_s == 15.0
--- a/packages/buckthornwall/src/buckthornwall/pools/placement.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/placement.py
@@ -175,7 +175,7 @@
 
 def _homes(by_id: Iterable[UpstreamId], wanted: PlacementRequest) -> list[UpstreamId]:
     """Return the engines in the order of homes of a prompt, those kept last."""
-    order = rendezvous_order(wanted.prompt.shared_key, by_id)
+    order = rendezvous_order(wanted.prompt.affinity_key, by_id)
     return sorted(order, key=lambda name: name in wanted.kept)
 
 
--- a/packages/buckthornwall/src/buckthornwall/pools/quiet.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/quiet.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass
 
 from buckthornwall.engine_model import EngineModel
-from buckthornwall.routing import AnswerForm, Pool, PromptShape, RequestRoute
+from buckthornwall.routing import Pool, PromptShape, RequestRoute, ResponseMode
 from buckthornwall.utils import UpstreamId, hash_share, rendezvous_order
 
 from .view import UpstreamView
@@ -47,9 +47,13 @@
     model
         What the pool's engines have shown of their steps.
     """
-    if route.form is not AnswerForm.EVENTS or pool.engine is None or prompt is None:
+    if (
+        route.response_mode is not ResponseMode.EVENT_STREAM
+        or pool.engine is None
+        or prompt is None
+    ):
         return False
-    if not prompt.is_mostly_answer:
+    if not prompt.is_decode_heavy:
         return False  # it brings to such engines what they are kept free of
     event_s = pool.engine.tokens_per_event * model.long_step_s
     if event_s > SAFE_PAUSE_SHARE * route.max_pause_s:
--- a/packages/buckthornwall/src/buckthornwall/pools/table.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/table.py
@@ -5,11 +5,11 @@
 
 from buckthornwall.engine_model import EngineModel
 from buckthornwall.routing import (
-    AnswerForm,
     Pool,
     PoolId,
     PromptShape,
     RequestRoute,
+    ResponseMode,
 )
 from buckthornwall.telemetry import log_event
 from buckthornwall.utils import Clock, RegionId, UpstreamId, ZoneId
@@ -193,7 +193,7 @@
         self.rate_limits.set_pools(pools)
         pauses: dict[PoolId, set[float]] = {}
         for route in routes:
-            if route.form is AnswerForm.EVENTS:
+            if route.response_mode is ResponseMode.EVENT_STREAM:
                 for share in route.shares:
                     pauses.setdefault(share.pool, set()).add(route.max_pause_s)
         for pool in pools:
--- a/packages/buckthornwall/src/buckthornwall/pools/tests/helpers.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/tests/helpers.py
@@ -9,8 +9,7 @@
     choose_engine,
 )
 from buckthornwall.routing import (
-    AnswerForm,
-    EngineTraits,
+    EngineSpec,
     Pool,
     PoolId,
     PoolShare,
@@ -18,6 +17,7 @@
     PromptShape,
     RequestRoute,
     Resolution,
+    ResponseMode,
 )
 from buckthornwall.utils import (
     ModelId,
@@ -59,8 +59,8 @@
         host="h",
         path_prefix=f"/{tier}/",
         shares=(PoolShare(POOL, 1.0),),
-        form=AnswerForm.EVENTS,
-        repeatable=False,
+        response_mode=ResponseMode.EVENT_STREAM,
+        retryable=False,
         resumable=False,
         timeout_s=5.0,
         target_s=target_s,
@@ -69,6 +69,6 @@
         tier=tier,
         needs_key=False,
     )
-    pool = Pool(POOL, "/", 10, EngineTraits(4, 300_000, 5))
+    pool = Pool(POOL, "/", 10, EngineSpec(4, 300_000, 5))
     resolution = Resolution(route, pool, TeamId("t"), 1, 1)
     return RequestTraits("r", shape, resolution, pause_sensitive)
--- a/packages/buckthornwall/src/buckthornwall/pools/tests/test_quiet.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/tests/test_quiet.py
@@ -9,12 +9,12 @@
     is_pause_sensitive,
 )
 from buckthornwall.routing import (
-    AnswerForm,
-    EngineTraits,
+    EngineSpec,
     Pool,
     PoolShare,
     PromptShape,
     RequestRoute,
+    ResponseMode,
 )
 from buckthornwall.utils import (
     ModelId,
@@ -30,8 +30,8 @@
         host="h",
         path_prefix="/",
         shares=(PoolShare(POOL, 1.0),),
-        form=AnswerForm.EVENTS,
-        repeatable=False,
+        response_mode=ResponseMode.EVENT_STREAM,
+        retryable=False,
         resumable=False,
         timeout_s=9.0,
         target_s=0.25,
@@ -62,7 +62,7 @@
 def test_a_stream_is_pause_sensitive_if_reading_beside_it_breaks_its_pauses(
     tokens_per_event, max_pause_s, expected
 ):
-    pool = Pool(POOL, "/", 10, EngineTraits(32, 100_000, tokens_per_event))
+    pool = Pool(POOL, "/", 10, EngineSpec(32, 100_000, tokens_per_event))
     shape = prompt_of(500, 90)
     assert (
         is_pause_sensitive(
@@ -74,7 +74,7 @@
 
 def test_a_stream_that_is_mostly_prompt_is_not_kept_with_those_that_must_not_pause():
     """It brings to such engines what they are kept free of."""
-    pool = Pool(POOL, "/", 10, EngineTraits(32, 100_000, 4))
+    pool = Pool(POOL, "/", 10, EngineSpec(32, 100_000, 4))
     assert is_pause_sensitive(
         pause_sensitive_route(0.12), pool, prompt_of(800, 90), EngineModel()
     )
@@ -86,7 +86,7 @@
 @pytest.mark.parametrize("speed", [0.5, 1.0, 2.0])
 def test_engines_of_other_speeds_make_other_streams_pause_sensitive(speed):
     """Four tokens of 45 ms break a pause of 0.2 s; four of 22 do not, of 90 by far."""
-    pool = Pool(POOL, "/", 10, EngineTraits(32, 100_000, 4))
+    pool = Pool(POOL, "/", 10, EngineSpec(32, 100_000, 4))
     model = shown(0.045 / speed)
     pause_s = 0.2
     pause_sensitive = is_pause_sensitive(
@@ -103,7 +103,7 @@
     tokens, longest_answer, expected
 ):
     """The route gives 9 s; a stream that brings a long prompt is none of these."""
-    pool = Pool(POOL, "/", 10, EngineTraits(32, 100_000, 1))
+    pool = Pool(POOL, "/", 10, EngineSpec(32, 100_000, 1))
     shape = prompt_of(tokens, longest_answer)
     assert (
         is_pause_sensitive(pause_sensitive_route(0.5), pool, shape, EngineModel())
--- a/packages/buckthornwall/src/buckthornwall/pools/tests/test_reachability.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/tests/test_reachability.py
@@ -11,7 +11,7 @@
     Reachability,
 )
 from buckthornwall.pools.refusal import find_overload
-from buckthornwall.routing import EngineTraits, Pool, Resolution
+from buckthornwall.routing import EngineSpec, Pool, Resolution
 from buckthornwall.routing.table import DEFAULT_TEAM_TIER
 from buckthornwall.utils import TeamId
 
@@ -90,7 +90,7 @@
             view.load.requests = view.entry.slots
             view.load.add_pending_prefill(0, 500_000)
     route = replace(pause_sensitive_route(0.5), tier=2)
-    pool = Pool(POOL, "/", 10, EngineTraits(4, 300_000, 4))
+    pool = Pool(POOL, "/", 10, EngineSpec(4, 300_000, 4))
     resolution = Resolution(route, pool, TeamId("t"), DEFAULT_TEAM_TIER, 1)
     traits = RequestTraits("r", prompt(), resolution, False)
     table.receive_unreachable({"lost": MIN_REPORTERS})
--- a/packages/buckthornwall/src/buckthornwall/router/tests/test_state_sync.py
+++ b/packages/buckthornwall/src/buckthornwall/router/tests/test_state_sync.py
@@ -6,7 +6,7 @@
 from buckthornwall.peers import Beacon, PeerState, PeerTable, ViewClient
 from buckthornwall.pools import PoolTable, UpstreamEntry, UpstreamState
 from buckthornwall.router.state_sync import UNHEARD_S, StateSync, view_pause_s
-from buckthornwall.routing import PoolId, Published, RoutingTable
+from buckthornwall.routing import PoolId, PublishedConfig, RoutingTable
 from buckthornwall.utils import Incarnation, NodeId, UpstreamId, ZoneId
 
 ZONE = ZoneId("z")
@@ -32,8 +32,8 @@
     )
 
 
-def decode(raw: bytes) -> Published:
-    return Published(number=int(raw))
+def decode(raw: bytes) -> PublishedConfig:
+    return PublishedConfig(number=int(raw))
 
 
 @pytest.fixture
--- a/packages/buckthornwall/src/buckthornwall/routing/__init__.py
+++ b/packages/buckthornwall/src/buckthornwall/routing/__init__.py
@@ -1,39 +1,39 @@
 """Which pool serves a request, and for which team.
 
 ============= ============================================================
-`contract`    routes, pools, teams and limits as the operator published them
+`config`      routes, pools, teams and limits as the operator published them
 `request`     one caller's request in the product's own words
 `table`       the one published version in force, and its look-ups
 ============= ============================================================
 """
 
-from .contract import (
-    AnswerForm,
-    CallerLimits,
-    EngineTraits,
+from .config import (
+    ClientLimits,
+    EngineSpec,
     Pool,
     PoolId,
     PoolShare,
-    Published,
+    PublishedConfig,
     RequestRoute,
-    TeamGrant,
+    ResponseMode,
+    TeamConfig,
 )
 from .request import PromptSegment, PromptShape, RoutedRequest
 from .table import Resolution, RoutingTable
 
 __all__ = [
-    "AnswerForm",
-    "CallerLimits",
-    "EngineTraits",
+    "ClientLimits",
+    "EngineSpec",
     "Pool",
     "PoolId",
     "PoolShare",
-    "Published",
     "PromptSegment",
     "PromptShape",
+    "PublishedConfig",
     "RequestRoute",
     "Resolution",
+    "ResponseMode",
     "RoutedRequest",
     "RoutingTable",
-    "TeamGrant",
+    "TeamConfig",
 ]
--- a/packages/buckthornwall/src/buckthornwall/routing/contract.py
+++ b/packages/buckthornwall/src/buckthornwall/routing/config.py
@@ -7,25 +7,25 @@
 from buckthornwall.utils import RegionId, RouteId, TeamId
 
 __all__ = [
-    "AnswerForm",
-    "CallerLimits",
-    "EngineTraits",
+    "ClientLimits",
+    "EngineSpec",
     "Pool",
     "PoolId",
     "PoolShare",
-    "Published",
+    "PublishedConfig",
     "RequestRoute",
-    "TeamGrant",
+    "ResponseMode",
+    "TeamConfig",
 ]
 
 PoolId = NewType("PoolId", str)
 
 
-class AnswerForm(Enum):
+class ResponseMode(Enum):
     """How an answer reaches the caller."""
 
-    WHOLE = "whole"
-    EVENTS = "events"
+    COMPLETE = "whole"
+    EVENT_STREAM = "events"
 
 
 @dataclass(frozen=True, slots=True)
@@ -40,7 +40,7 @@
 class RequestRoute:
     """A path prefix of a host, and the contract for what arrives there.
 
-    `repeatable` tells whether an upstream may run a request again after it
+    `retryable` tells whether an upstream may run a request again after it
     may have run once; `resumable` whether an event stream may go on at
     another upstream. `tier` 0 is the most urgent. Times are in seconds. Requests
     go to upstreams in `regions` only, to any if there are none.
@@ -50,8 +50,8 @@
     host: str
     path_prefix: str
     shares: tuple[PoolShare, ...]
-    form: AnswerForm
-    repeatable: bool
+    response_mode: ResponseMode
+    retryable: bool
     resumable: bool
     timeout_s: float
     target_s: float
@@ -63,7 +63,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class EngineTraits:
+class EngineSpec:
     """What the operator says of a pool's model engines; memory in tokens."""
 
     slots: int
@@ -82,13 +82,13 @@
     id: PoolId
     health_path: str
     max_connections: int
-    engine: EngineTraits | None = None
+    engine: EngineSpec | None = None
     cold_s: float = 0.0
     cold_per_s: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
-class TeamGrant:
+class TeamConfig:
     """A team, its keys, and the tier that goes before its routes' tiers.
 
     Its requests go to upstreams in `regions` only, to any if there are none.
@@ -101,7 +101,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CallerLimits:
+class ClientLimits:
     """Bounds on what a caller may send and how long it may take.
 
     The defaults hold until the operator's first version arrives.
@@ -114,11 +114,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Published:
+class PublishedConfig:
     """One whole version of the operator's configuration."""
 
     number: int
     routes: tuple[RequestRoute, ...] = ()
     pools: tuple[Pool, ...] = ()
-    teams: tuple[TeamGrant, ...] = ()
-    limits: CallerLimits = field(default_factory=CallerLimits)
+    teams: tuple[TeamConfig, ...] = ()
+    limits: ClientLimits = field(default_factory=ClientLimits)
--- a/packages/buckthornwall/src/buckthornwall/routing/request.py
+++ b/packages/buckthornwall/src/buckthornwall/routing/request.py
@@ -6,7 +6,7 @@
 
 __all__ = ["PromptSegment", "PromptShape", "RoutedRequest"]
 
-OUTPUT_WEIGHT = 10  # a generated token costs about ten prompt tokens' time
+OUTPUT_TOKEN_COST = 10  # a generated token costs about ten prompt tokens' time
 
 
 @dataclass(frozen=True, slots=True)
@@ -35,12 +35,12 @@
         return self.prompt_tokens + self.max_output_tokens // 2
 
     @property
-    def is_mostly_answer(self) -> bool:
+    def is_decode_heavy(self) -> bool:
         """Whether its longest answer takes more work than its prompt."""
-        return self.max_output_tokens * OUTPUT_WEIGHT > self.prompt_tokens
+        return self.max_output_tokens * OUTPUT_TOKEN_COST > self.prompt_tokens
 
     @property
-    def shared_key(self) -> str:
+    def affinity_key(self) -> str:
         """Id of the last segment that other requests may share, or ''."""
         if len(self.segments) >= 2:
             return self.segments[-2].id
--- a/packages/buckthornwall/src/buckthornwall/routing/table.py
+++ b/packages/buckthornwall/src/buckthornwall/routing/table.py
@@ -6,7 +6,14 @@
 from buckthornwall.codes import Refusal, ResultCode
 from buckthornwall.utils import RegionId, TeamId
 
-from .contract import CallerLimits, Pool, PoolId, Published, RequestRoute, TeamGrant
+from .config import (
+    ClientLimits,
+    Pool,
+    PoolId,
+    PublishedConfig,
+    RequestRoute,
+    TeamConfig,
+)
 from .request import RoutedRequest
 
 __all__ = ["Resolution", "RoutingTable"]
@@ -60,15 +67,15 @@
 
     def __init__(self) -> None:
         self.number = 0
-        self.limits = CallerLimits()
+        self.limits = ClientLimits()
         self.pools: dict[PoolId, Pool] = {}
         self.routes: tuple[RequestRoute, ...] = ()
         self._by_host: dict[str, list[RequestRoute]] = {}
-        self._teams: dict[str, TeamGrant] = {}
-        self._keyed = False
-        self._draw = random.Random()
+        self._teams: dict[str, TeamConfig] = {}
+        self._has_teams = False
+        self._random = random.Random()
 
-    def adopt(self, published: Published) -> bool:
+    def adopt(self, published: PublishedConfig) -> bool:
         """Put a version in force if it is newer; tell whether it was."""
         if published.number <= self.number:
             return False
@@ -80,7 +87,7 @@
         self._by_host = by_host
         self.routes = published.routes
         self._teams = {key: team for team in published.teams for key in team.keys}
-        self._keyed = bool(published.teams)
+        self._has_teams = bool(published.teams)
         self.pools = {pool.id: pool for pool in published.pools}
         self.limits = published.limits
         self.number = published.number
@@ -115,9 +122,9 @@
                 return route
         raise Refusal(ResultCode.UNKNOWN_PATH)
 
-    def _team(self, request: RoutedRequest, route: RequestRoute) -> TeamGrant | None:
+    def _team(self, request: RoutedRequest, route: RequestRoute) -> TeamConfig | None:
         team = self._teams.get(request.key) if request.key else None
-        if team is None and self._keyed and route.needs_key:
+        if team is None and self._has_teams and route.needs_key:
             raise Refusal(ResultCode.UNAUTHENTICATED)
         return team
 
@@ -125,11 +132,11 @@
         if len(route.shares) == 1:
             return route.shares[0].pool
         weights = [share.weight for share in route.shares]
-        return self._draw.choices(route.shares, weights)[0].pool
+        return self._random.choices(route.shares, weights)[0].pool
 
 
 def _allowed_regions(
-    route: RequestRoute, team: TeamGrant | None
+    route: RequestRoute, team: TeamConfig | None
 ) -> frozenset[RegionId] | None:
     """Return the regions that a route and a team allow, None for any."""
     bounds = [each.regions for each in (route, team) if each is not None]
--- a/packages/buckthornwall/src/buckthornwall/routing/tests/test_table.py
+++ b/packages/buckthornwall/src/buckthornwall/routing/tests/test_table.py
@@ -4,15 +4,15 @@
 
 from buckthornwall.codes import Refusal, ResultCode
 from buckthornwall.routing import (
-    AnswerForm,
     Pool,
     PoolId,
     PoolShare,
-    Published,
+    PublishedConfig,
     RequestRoute,
+    ResponseMode,
     RoutedRequest,
     RoutingTable,
-    TeamGrant,
+    TeamConfig,
 )
 from buckthornwall.utils import RouteId, TeamId
 
@@ -26,8 +26,8 @@
         host="h",
         path_prefix=prefix,
         shares=shares or (PoolShare(pool, 1.0),),
-        form=AnswerForm.WHOLE,
-        repeatable=True,
+        response_mode=ResponseMode.COMPLETE,
+        retryable=True,
         resumable=False,
         timeout_s=1.0,
         target_s=0.5,
@@ -47,7 +47,7 @@
 def table():
     table = RoutingTable()
     table.adopt(
-        Published(
+        PublishedConfig(
             number=5,
             routes=(
                 route("short", "/a/"),
@@ -57,8 +57,8 @@
             ),
             pools=(Pool(DRAFTS, "/", 10), Pool(ORDERS, "/", 10)),
             teams=(
-                TeamGrant(TeamId("one"), ("k", "k2")),
-                TeamGrant(TeamId("first"), ("urgent",), tier=0),
+                TeamConfig(TeamId("one"), ("k", "k2")),
+                TeamConfig(TeamId("first"), ("urgent",), tier=0),
             ),
         )
     )
@@ -108,14 +108,14 @@
 
 
 def test_an_older_version_is_not_taken(table):
-    assert not table.adopt(Published(number=4))
+    assert not table.adopt(PublishedConfig(number=4))
     assert table.resolve(request("/a/x")).number == 5
 
 
 def test_a_split_follows_its_weights(table):
     shares = (PoolShare(DRAFTS, 90), PoolShare(ORDERS, 10))
     pools = (Pool(DRAFTS, "/", 10), Pool(ORDERS, "/", 10))
-    table.adopt(Published(6, (route("split", "/s/", shares=shares),), pools))
+    table.adopt(PublishedConfig(6, (route("split", "/s/", shares=shares),), pools))
     chosen = [table.resolve(request("/s/x")).pool.id for _ in range(1000)]
     assert 840 < chosen.count(DRAFTS) < 960
 
@@ -132,7 +132,7 @@
 )
 def test_regions_of_route_and_team_both_bind(of_route, of_team, allowed):
     table = RoutingTable()
-    team = TeamGrant(TeamId("one"), ("k",), regions=frozenset(of_team))
+    team = TeamConfig(TeamId("one"), ("k",), regions=frozenset(of_team))
     routes = (route("r", "/a/", regions=of_route),)
-    table.adopt(Published(1, routes, (Pool(DRAFTS, "/", 10),), (team,)))
+    table.adopt(PublishedConfig(1, routes, (Pool(DRAFTS, "/", 10),), (team,)))
     assert table.resolve(request("/a/x")).regions == allowed
