--- a/packages/buckthornwall-standins/src/buckthornwall_standins/tests/test_crash_reports.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/tests/test_crash_reports.py
@@ -18,7 +18,7 @@
 
 def end_at(peer, upstream, request=REQUEST):
     tag = generation_tag(PoolId("p"), upstream, "")
-    peer.quarantine.record_end(request, tag, trio.current_time())
+    peer.quarantine.record_termination(request, tag, trio.current_time())
 
 
 def refusing(fleet):
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/tests/test_router.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/tests/test_router.py
@@ -390,7 +390,7 @@
         router = site.routers[1]
         tag = generation_tag(PoolId(DRAFTS), upstream, "")
         fingerprint = fingerprint_of(request, TeamId("one"))
-        router.quarantine.record_end(fingerprint, tag, router.clock.now())
+        router.quarantine.record_termination(fingerprint, tag, router.clock.now())
     await trio.sleep(1.0)
     await site.add_router(3)
     status, _, _ = await site.call("/once/x", 3, prompt=True)
--- a/packages/buckthornwall/src/buckthornwall/forwarding/crash_guard.py
+++ b/packages/buckthornwall/src/buckthornwall/forwarding/crash_guard.py
@@ -65,5 +65,5 @@
             return False
         if is_listed and entry.state is UpstreamState.READY:  # else it left as planned
             tag = generation_tag(entry.pool, entry.id, entry.generation)
-            self.quarantine.record_end(job.fingerprint, tag, self.clock.now())
+            self.quarantine.record_termination(job.fingerprint, tag, self.clock.now())
         return True
--- a/packages/buckthornwall/src/buckthornwall/quarantine/record.py
+++ b/packages/buckthornwall/src/buckthornwall/quarantine/record.py
@@ -25,7 +25,7 @@
 UPSTREAM_BYTES = 4
 TAG_BYTES = POOL_BYTES + UPSTREAM_BYTES
 # A request beneath which so many upstreams ended is refused anyway.
-MOST_ENDS = 16
+MAX_TERMINATIONS = 16
 
 
 def pool_tag(pool: PoolId) -> int:
@@ -35,8 +35,8 @@
 
 def generation_tag(pool: PoolId, upstream: str, generation: str) -> GenerationTag:
     """Return what tells one incarnation of an upstream from all others."""
-    own = _hash(f"{upstream}\0{generation}", UPSTREAM_BYTES)
-    return GenerationTag(pool_tag(pool) << 8 * UPSTREAM_BYTES | own)
+    upstream_hash = _hash(f"{upstream}\0{generation}", UPSTREAM_BYTES)
+    return GenerationTag(pool_tag(pool) << 8 * UPSTREAM_BYTES | upstream_hash)
 
 
 def pool_of(tag: GenerationTag) -> int:
@@ -52,34 +52,37 @@
 class CrashRecord:
     """What is known of one request; both sets only grow, so any order of merges fits.
 
-    `ends` are the upstreams that ended beneath it, and `cleared` those of them that a
-    run of the same request in the same pool speaks for. `seen_at` is when it last came
-    or ended an upstream, and `told_at` when others were last told of it, in seconds.
+    `terminations` are the upstreams that ended beneath it, and `cleared` those of them
+    that a run of the same request in the same pool speaks for. `last_seen_at` is when
+    it last came or ended an upstream, and `reported_at` when others were last told of
+    it, in seconds.
     """
 
-    ends: set[GenerationTag] = field(default_factory=set)
+    terminations: set[GenerationTag] = field(default_factory=set)
     cleared: set[GenerationTag] = field(default_factory=set)
-    seen_at: float = float("-inf")
-    told_at: float = float("-inf")
+    last_seen_at: float = float("-inf")
+    reported_at: float = float("-inf")
 
     @property
     def crashes(self) -> int:
         """How many upstreams it is held to have crashed."""
-        return len(self.ends - self.cleared)
+        return len(self.terminations - self.cleared)
 
-    def merge(self, ends: set[GenerationTag], cleared: set[GenerationTag]) -> None:
+    def merge(
+        self, terminations: set[GenerationTag], cleared: set[GenerationTag]
+    ) -> None:
         """Add what is known elsewhere, as far as there is room."""
-        room = max(0, MOST_ENDS - len(self.ends))
-        self.ends.update(sorted(ends - self.ends)[:room])
-        self.cleared |= cleared & self.ends
+        room = max(0, MAX_TERMINATIONS - len(self.terminations))
+        self.terminations.update(sorted(terminations - self.terminations)[:room])
+        self.cleared |= cleared & self.terminations
 
     def clear(self, pool: int) -> None:
-        """Clear it of the ends in a pool."""
-        self.cleared |= {tag for tag in self.ends if pool_of(tag) == pool}
+        """Clear it of the terminations in a pool."""
+        self.cleared |= {tag for tag in self.terminations if pool_of(tag) == pool}
 
     def checksum(self, fingerprint: Fingerprint) -> int:
         """Return a number of 32 bits that is equal where the same is known."""
         data = fingerprint.to_bytes(FINGERPRINT_BYTES)
-        for tag in sorted(self.ends):
+        for tag in sorted(self.terminations):
             data += tag.to_bytes(TAG_BYTES) + bytes([tag in self.cleared])
         return zlib.crc32(data)
--- a/packages/buckthornwall/src/buckthornwall/quarantine/successes.py
+++ b/packages/buckthornwall/src/buckthornwall/quarantine/successes.py
@@ -12,25 +12,25 @@
 
     Parameters
     ----------
-    most
+    max_entries
         How many are kept.
-    lasting_s
+    ttl_s
         Seconds for which a run that went well counts.
     """
 
-    def __init__(self, most: int, lasting_s: float) -> None:
-        self.most = most
-        self.lasting_s = lasting_s
-        self._at: OrderedDict[tuple[Fingerprint, int], float] = OrderedDict()
+    def __init__(self, max_entries: int, ttl_s: float) -> None:
+        self.max_entries = max_entries
+        self.ttl_s = ttl_s
+        self._succeeded_at: OrderedDict[tuple[Fingerprint, int], float] = OrderedDict()
 
-    def note(self, fingerprint: Fingerprint, pool: int, now: float) -> None:
+    def record(self, fingerprint: Fingerprint, pool: int, now: float) -> None:
         """Record a run that went well."""
-        self._at[fingerprint, pool] = now
-        self._at.move_to_end((fingerprint, pool))
-        if len(self._at) > self.most:
-            self._at.popitem(last=False)
+        self._succeeded_at[fingerprint, pool] = now
+        self._succeeded_at.move_to_end((fingerprint, pool))
+        if len(self._succeeded_at) > self.max_entries:
+            self._succeeded_at.popitem(last=False)
 
     def includes(self, fingerprint: Fingerprint, pool: int, now: float) -> bool:
         """Tell whether a request lately ran well in a pool."""
-        at = self._at.get((fingerprint, pool))
-        return at is not None and now - at <= self.lasting_s
+        at = self._succeeded_at.get((fingerprint, pool))
+        return at is not None and now - at <= self.ttl_s
--- a/packages/buckthornwall/src/buckthornwall/quarantine/table.py
+++ b/packages/buckthornwall/src/buckthornwall/quarantine/table.py
@@ -1,8 +1,9 @@
 """Which requests crash upstreams, as all instances together know it.
 
-Pure: ends, successes and reports of other instances in, decisions out. An engine that
-ends cuts all that it runs, so one end says little of any one request; the same request
-beneath several ends, and never a run of it that went well, says enough.
+Pure: terminations, successes and reports of other instances in, decisions out. An
+engine that ends cuts all that it runs, so one end says little of any one request; the
+same request beneath several terminations, and never a run of it that went well, says
+enough.
 """
 
 import math
@@ -22,28 +23,28 @@
 
 __all__ = ["CrashReport", "QuarantineTable"]
 
-# A run that went well speaks for ends of the next seconds, too: where all upstreams
-# of a pool are lost at once, what many callers send is beneath each of them.
-SUCCESS_LASTS_S = 10.0
+# A run that went well speaks for terminations of the next seconds, too: where all
+# upstreams of a pool are lost at once, what many callers send is beneath each of them.
+SUCCESS_TTL_S = 10.0
 # While a refused request keeps coming, others are reminded of it this often, as a share
 # of the time after which they would forget it.
 REMINDER_SHARE = 0.25
 
-Hash = Annotated[int, msgspec.Meta(ge=0)]
+NonNegativeInt = Annotated[int, msgspec.Meta(ge=0)]
 Tag = Annotated[int, msgspec.Meta(ge=0, lt=1 << 8 * TAG_BYTES)]
 
 
 class CrashReport(msgspec.Struct, array_like=True, frozen=True):
     """What an instance tells of one request.
 
-    `ends` and `cleared` are those of its record; it was last seen `age_s` ago, rounded
-    up, so that no number of instances keeps it alive by telling each other.
+    `terminations` and `cleared` are those of its record; it was last seen `age_s` ago,
+    rounded up, so that no number of instances keeps it alive by telling each other.
     """
 
-    fingerprint: Hash
-    ends: list[Tag]
+    fingerprint: NonNegativeInt
+    terminations: list[Tag]
     cleared: list[Tag]
-    age_s: Hash
+    age_s: NonNegativeInt
 
 
 class QuarantineTable:
@@ -64,12 +65,12 @@
         self.settings = settings
         self.records: dict[Fingerprint, CrashRecord] = {}
         self.checksum = 0
-        self._successes = RecentSuccesses(settings.most_requests, SUCCESS_LASTS_S)
+        self._successes = RecentSuccesses(settings.most_requests, SUCCESS_TTL_S)
         self._changed: dict[Fingerprint, None] = {}
 
     # What this instance sees
 
-    def record_end(
+    def record_termination(
         self, fingerprint: Fingerprint, tag: GenerationTag, now: float
     ) -> None:
         """Record that an upstream ended beneath a request."""
@@ -80,7 +81,7 @@
             "WARNING",
             fingerprint=format_fingerprint(fingerprint),
             crashes=record.crashes,
-            ends=len(record.ends),
+            ends=len(record.terminations),
         )
 
     def record_success(
@@ -88,25 +89,25 @@
     ) -> None:
         """Record a run that went well: the request crashes nothing in this pool."""
         tag = pool_tag(pool)
-        self._successes.note(fingerprint, tag, now)
+        self._successes.record(fingerprint, tag, now)
         record = self.records.get(fingerprint)
         if record is not None:
-            with self._changing(fingerprint, record):
+            with self._tracking_changes(fingerprint, record):
                 record.clear(tag)
 
     def record_refused(self, fingerprint: Fingerprint, now: float) -> None:
         """Record that a request came again: it is not forgotten while it comes."""
         record = self.records[fingerprint]
-        record.seen_at = now
-        if now - record.told_at > self._reminder_s:
+        record.last_seen_at = now
+        if now - record.reported_at > self._reminder_s:
             self._changed[fingerprint] = None
 
     def is_refused(self, fingerprint: Fingerprint, now: float) -> bool:
         """Tell whether a request is no longer sent to upstreams."""
         record = self.records.get(fingerprint)
-        if record is None or self._is_old(record, now):
+        if record is None or self._is_expired(record, now):
             return False
-        return self._is_over(record)
+        return self._is_quarantined(record)
 
     def crashes(self, fingerprint: Fingerprint) -> int:
         """Return how many upstreams a request is held to have crashed."""
@@ -117,26 +118,26 @@
     def _reminder_s(self) -> float:
         return REMINDER_SHARE * self.settings.forget_s
 
-    def _is_over(self, record: CrashRecord) -> bool:
+    def _is_quarantined(self, record: CrashRecord) -> bool:
         return record.crashes >= self.settings.crashes
 
-    def _is_old(self, record: CrashRecord, now: float) -> bool:
-        return now - record.seen_at > self.settings.forget_s
+    def _is_expired(self, record: CrashRecord, now: float) -> bool:
+        return now - record.last_seen_at > self.settings.forget_s
 
     # What instances tell each other
 
     def receive(self, report: CrashReport, now: float) -> None:
         """Take what another instance knows of a request."""
-        if not report.ends or report.age_s > self.settings.forget_s:
+        if not report.terminations or report.age_s > self.settings.forget_s:
             return
         fingerprint = Fingerprint(report.fingerprint)
-        ends = {GenerationTag(tag) for tag in report.ends}
+        terminations = {GenerationTag(tag) for tag in report.terminations}
         cleared = {GenerationTag(tag) for tag in report.cleared}
-        self._merge(fingerprint, ends, cleared, now - report.age_s, now)
+        self._merge(fingerprint, terminations, cleared, now - report.age_s, now)
 
-    def take_changed(self, most: int, now: float) -> list[CrashReport]:
+    def take_changed(self, max_reports: int, now: float) -> list[CrashReport]:
         """Return reports on what changed since they were last taken, some at a time."""
-        taken = list(self._changed)[:most]
+        taken = list(self._changed)[:max_reports]
         for fingerprint in taken:
             del self._changed[fingerprint]
         return [self._report(each, now) for each in taken]
@@ -147,10 +148,10 @@
 
     def _report(self, fingerprint: Fingerprint, now: float) -> CrashReport:
         record = self.records[fingerprint]
-        record.told_at = now
-        age_s = math.ceil(now - record.seen_at)
+        record.reported_at = now
+        age_s = math.ceil(now - record.last_seen_at)
         return CrashReport(
-            fingerprint, sorted(record.ends), sorted(record.cleared), age_s
+            fingerprint, sorted(record.terminations), sorted(record.cleared), age_s
         )
 
     # Records
@@ -158,17 +159,17 @@
     def _merge(
         self,
         fingerprint: Fingerprint,
-        ends: set[GenerationTag],
+        terminations: set[GenerationTag],
         cleared: set[GenerationTag],
-        seen_at: float,
+        last_seen_at: float,
         now: float,
     ) -> None:
         record = self.records.get(fingerprint) or self._add(fingerprint)
-        is_reminder = seen_at - record.seen_at > self._reminder_s / 2
-        record.seen_at = max(record.seen_at, seen_at)
-        with self._changing(fingerprint, record):
-            record.merge(ends, cleared)
-            for pool in {pool_of(tag) for tag in record.ends}:
+        is_reminder = last_seen_at - record.last_seen_at > self._reminder_s / 2
+        record.last_seen_at = max(record.last_seen_at, last_seen_at)
+        with self._tracking_changes(fingerprint, record):
+            record.merge(terminations, cleared)
+            for pool in {pool_of(tag) for tag in record.terminations}:
                 if self._successes.includes(fingerprint, pool, now):
                     record.clear(pool)
         if is_reminder:
@@ -176,14 +177,14 @@
 
     def _add(self, fingerprint: Fingerprint) -> CrashRecord:
         if len(self.records) >= self.settings.most_requests:
-            self._drop(min(self.records, key=self._worth_keeping))
+            self._drop(min(self.records, key=self._retention_key))
         record = self.records[fingerprint] = CrashRecord()
         self.checksum ^= record.checksum(fingerprint)
         return record
 
-    def _worth_keeping(self, fingerprint: Fingerprint) -> tuple[int, float]:
+    def _retention_key(self, fingerprint: Fingerprint) -> tuple[int, float]:
         record = self.records[fingerprint]
-        return record.crashes, record.seen_at
+        return record.crashes, record.last_seen_at
 
     def _drop(self, fingerprint: Fingerprint) -> None:
         record = self.records.pop(fingerprint)
@@ -191,18 +192,24 @@
         self._changed.pop(fingerprint, None)
 
     @contextmanager
-    def _changing(
+    def _tracking_changes(
         self, fingerprint: Fingerprint, record: CrashRecord
     ) -> Iterator[None]:
         """Note what the body of the ``with`` statement changes in a record."""
-        before, was_over = record.checksum(fingerprint), self._is_over(record)
+        before, was_quarantined = (
+            record.checksum(fingerprint),
+            self._is_quarantined(record),
+        )
         yield
-        after, is_over = record.checksum(fingerprint), self._is_over(record)
+        after, is_quarantined = (
+            record.checksum(fingerprint),
+            self._is_quarantined(record),
+        )
         if after != before:
             self.checksum ^= before ^ after
             self._changed[fingerprint] = None
-        if is_over != was_over:
-            event = "request_quarantined" if is_over else "quarantine_lifted"
+        if is_quarantined != was_quarantined:
+            event = "request_quarantined" if is_quarantined else "quarantine_lifted"
             self._log(event, fingerprint, record)
 
     def _log(self, event: str, fingerprint: Fingerprint, record: CrashRecord) -> None:
@@ -211,15 +218,15 @@
             "WARNING",
             fingerprint=format_fingerprint(fingerprint),
             crashes=record.crashes,
-            ends=len(record.ends),
+            ends=len(record.terminations),
         )
 
     def expire(self, now: float) -> None:
         """Forget requests that have long neither come nor crashed an upstream."""
         for fingerprint, record in list(self.records.items()):
-            if not self._is_old(record, now):
+            if not self._is_expired(record, now):
                 continue
-            if self._is_over(record):
+            if self._is_quarantined(record):
                 self._log("quarantine_lifted", fingerprint, record)
             self._drop(fingerprint)
 
@@ -228,5 +235,5 @@
         return {
             fingerprint: record
             for fingerprint, record in self.records.items()
-            if self._is_over(record)
+            if self._is_quarantined(record)
         }
--- a/packages/buckthornwall/src/buckthornwall/quarantine/tests/test_table.py
+++ b/packages/buckthornwall/src/buckthornwall/quarantine/tests/test_table.py
@@ -34,7 +34,7 @@
 
 def crash(table, *upstreams, now=NOW, request=REQUEST):
     for upstream in upstreams:
-        table.record_end(request, tag(upstream), now)
+        table.record_termination(request, tag(upstream), now)
 
 
 def tell(source, target, now=NOW):
@@ -57,7 +57,7 @@
 
 def test_an_upstream_that_ends_again_after_another_start_counts_again(table):
     for generation in ("1", "2", "3"):
-        table.record_end(REQUEST, tag("a", generation=generation), NOW)
+        table.record_termination(REQUEST, tag("a", generation=generation), NOW)
     assert table.is_refused(REQUEST, NOW)
 
 
@@ -146,7 +146,7 @@
 
 def test_the_sets_of_a_record_are_bounded(table):
     crash(table, *(f"u{number}" for number in range(100)))
-    assert len(table.records[REQUEST].ends) <= 16
+    assert len(table.records[REQUEST].terminations) <= 16
 
 
 def test_a_change_is_told_once(table):
@@ -162,7 +162,7 @@
     st.builds(
         CrashReport,
         fingerprint=st.integers(1, 3),
-        ends=st.lists(st.sampled_from(TAGS), unique=True),
+        terminations=st.lists(st.sampled_from(TAGS), unique=True),
         cleared=st.lists(st.sampled_from(TAGS), unique=True),
         age_s=st.integers(0, 100),
     ),
@@ -172,19 +172,19 @@
 
 def known(table):
     return {
-        fingerprint: (record.ends, record.cleared)
+        fingerprint: (record.terminations, record.cleared)
         for fingerprint, record in table.records.items()
     }
 
 
 @given(REPORTS, st.randoms(use_true_random=False))
 def test_what_is_heard_in_any_order_and_again_comes_to_the_same(reports, draw):
-    """Each instance says only what it knows: `cleared` is a part of `ends`."""
+    """Each instance says only what it knows: `cleared` is a part of `terminations`."""
     valid = [
         CrashReport(
             each.fingerprint,
-            each.ends,
-            [end for end in each.cleared if end in each.ends],
+            each.terminations,
+            [end for end in each.cleared if end in each.terminations],
             each.age_s,
         )
         for each in reports
--- a/packages/buckthornwall/src/buckthornwall/router/operators.py
+++ b/packages/buckthornwall/src/buckthornwall/router/operators.py
@@ -141,7 +141,7 @@
         "requests": {
             format_fingerprint(fingerprint): {
                 "crashes": record.crashes,
-                "seen_s_ago": round(now - record.seen_at, 1),
+                "seen_s_ago": round(now - record.last_seen_at, 1),
             }
             for fingerprint, record in refused[:MOST_SHOWN]
         },
