--- a/packages/buckthornwall-standins/src/buckthornwall_standins/peers_sim/peer.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/peers_sim/peer.py
@@ -149,7 +149,7 @@
             number=self.discovery.table.number,
             change_revision=self.discovery.change_revision,
             read_age_ms=self.state_sync.read_age_ms(),
-            unbroken_ms=int(self.discovery.store_uptime_s() * 1000),
+            store_uptime_ms=int(self.discovery.store_uptime_s() * 1000),
             loads=self.simulation.make_loads(self.address),
             cached_prefixes=self.simulation.make_cached_prefixes(self.address),
             crash_checksum=self.quarantine.checksum,
--- a/packages/buckthornwall/src/buckthornwall/peers/greetings.py
+++ b/packages/buckthornwall/src/buckthornwall/peers/greetings.py
@@ -121,6 +121,6 @@
         change_revision=0,
         informed="",
         read_age_ms=NEVER_MS,
-        unbroken_ms=0,
+        store_uptime_ms=0,
         loads={},
     )
--- a/packages/buckthornwall/src/buckthornwall/peers/messages.py
+++ b/packages/buckthornwall/src/buckthornwall/peers/messages.py
@@ -72,7 +72,7 @@
 
     `weight` is how much it can carry for others. `number` is that of the
     configuration in force, `change_revision` the revision of the newest change, and
-    `read_age_ms` how long ago the store last answered here, `unbroken_ms` for how
+    `read_age_ms` how long ago the store last answered here, `store_uptime_ms` for how
     long it has done so without an outage. `loads` names upstreams with work from
     this instance, `cached_prefixes` the shared parts of prompts that it has lately sent
     to each, `unreachable` upstreams that it could lately not reach. `greets` asks for
@@ -90,7 +90,7 @@
     number: int
     change_revision: int
     read_age_ms: int
-    unbroken_ms: int
+    store_uptime_ms: int
     loads: dict[UpstreamId, Work]
     greets: bool = False
     cached_prefixes: CachedPrefixes = {}
@@ -108,7 +108,7 @@
     the weight of each, `speakers` the speaker's address of each zone. `informed` is
     the address of the instance with the highest `number` and `change_revision`, and
     `read_age_ms` how long ago the store last answered any of them, and
-    `unbroken_ms` the longest time for which it has answered one of them without an
+    `store_uptime_ms` the longest time for which it has answered one of them without an
     outage. `age_ms` is 0 unless another instance passes the digest on. Heartbeats
     that name upstreams by their places in `loads` give its `sequence`; 0 is named by
     none. `unreachable` tells how many of the instances could lately not reach an
@@ -127,7 +127,7 @@
     change_revision: int
     informed: str
     read_age_ms: int
-    unbroken_ms: int
+    store_uptime_ms: int
     loads: dict[UpstreamId, Work]
     cached_prefixes: CachedPrefixes = {}
     age_ms: int = 0
@@ -167,7 +167,7 @@
     change_revision: int
     informed: str
     read_age_ms: int
-    unbroken_ms: int
+    store_uptime_ms: int
     sequence: int = 0
     counts: bytes = b""
     parts: bytes = b""
--- a/packages/buckthornwall/src/buckthornwall/peers/table.py
+++ b/packages/buckthornwall/src/buckthornwall/peers/table.py
@@ -145,7 +145,7 @@
             return None
         heard.at = heard.told_at = now
         heard.message.read_age_ms = heartbeat.read_age_ms
-        heard.message.unbroken_ms = heartbeat.unbroken_ms
+        heard.message.store_uptime_ms = heartbeat.store_uptime_ms
         heard.message.limits = heartbeat.limits
         take_newer(heard.message, heartbeat)
         counts = read_counts(heartbeat, heard.message, heard.names)
@@ -268,7 +268,7 @@
             change_revision=newest.change_revision,
             informed=newest.informed,
             read_age_ms=newest.read_age_ms,
-            unbroken_ms=newest.unbroken_ms,
+            store_uptime_ms=newest.store_uptime_ms,
             loads=sum_loads(parts, far),
             cached_prefixes=self.parts.told(own, is_fleet, now),
             unreachable=sum_unreachable(parts, far),
@@ -321,15 +321,15 @@
             change_revision=best.change_revision,
             informed=best.address,
             read_age_ms=own.read_age_ms,
-            unbroken_ms=max(part.unbroken_ms for part in parts),
+            store_uptime_ms=max(part.store_uptime_ms for part in parts),
             crash_checksum=own.crash_checksum,
             limits=newest_limits(own, heard_of, now),
         )
         for heard in heard_of:
             take_read_age(heartbeat, heard, now)
         for heard in far:
-            heartbeat.unbroken_ms = max(
-                heartbeat.unbroken_ms, heard.message.unbroken_ms
+            heartbeat.store_uptime_ms = max(
+                heartbeat.store_uptime_ms, heard.message.store_uptime_ms
             )
             take_newer(heartbeat, heard.message)
         return heartbeat
--- a/packages/buckthornwall/src/buckthornwall/peers/tests/test_peers.py
+++ b/packages/buckthornwall/src/buckthornwall/peers/tests/test_peers.py
@@ -28,7 +28,7 @@
     state=PeerState.READY,
     number=1,
     change_revision=1,
-    unbroken_ms=0,
+    store_uptime_ms=0,
 ):
     return Beacon(
         NodeId(address),
@@ -40,7 +40,7 @@
         number,
         change_revision,
         300,
-        unbroken_ms,
+        store_uptime_ms,
         loads or {},
     )
 
@@ -176,14 +176,14 @@
 
 def test_the_longest_unbroken_time_of_any_zone_is_told():
     first = table(FIRST)
-    first.receive_beacon(beacon(SECOND, unbroken_ms=700), 0.0)
+    first.receive_beacon(beacon(SECOND, store_uptime_ms=700), 0.0)
     far = table("10.1.0.1:7340", "far")
     told = far.make_digest(
-        beacon(far.address, zone="far", unbroken_ms=9000), False, now=0.0
+        beacon(far.address, zone="far", store_uptime_ms=9000), False, now=0.0
     )
-    assert first.make_digest(beacon(FIRST), True, now=0.0).unbroken_ms == 700
+    assert first.make_digest(beacon(FIRST), True, now=0.0).store_uptime_ms == 700
     first.receive_digest(told, 0.0)
-    assert first.make_digest(beacon(FIRST), True, now=0.0).unbroken_ms == 9000
+    assert first.make_digest(beacon(FIRST), True, now=0.0).store_uptime_ms == 9000
 
 
 def test_who_leaves_no_longer_counts_and_who_joins_not_yet():
--- a/packages/buckthornwall/src/buckthornwall/router/state_sync.py
+++ b/packages/buckthornwall/src/buckthornwall/router/state_sync.py
@@ -87,7 +87,7 @@
         while True:
             await trio.sleep(ASK_PEERS_S)
             fleet = self._fleet()
-            self.discovery.receive_store_uptime(fleet.unbroken_ms / MS_PER_S)
+            self.discovery.receive_store_uptime(fleet.store_uptime_ms / MS_PER_S)
             if self.should_ask(fleet):
                 started = self.clock.now()
                 await self.take_view(fleet.informed)
