--- a/packages/buckthornwall-standins/src/buckthornwall_standins/peers_sim/peer.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/peers_sim/peer.py
@@ -126,7 +126,7 @@
     def share_limits(self) -> None:
         """Find the part of this instance in what upstreams take, as a router does."""
         now = self.clock.now()
-        live = self.agent.table.whole(self.make_beacon(), now)
+        live = self.agent.table.fleet_digest(self.make_beacon(), now)
         live = live.live(self.address, self.zone)
         self.fleet_memory.record(live, now)
         self.pools.rate_limits.update_shares(live, self.fleet_memory.lately(live, now))
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/peers_sim/soak.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/peers_sim/soak.py
@@ -188,7 +188,7 @@
 def _state(peer: SimPeer) -> str:
     """Return how far behind an instance is, and what it goes by."""
     now = peer.clock.now()
-    told = peer.agent.table.whole(peer.make_beacon(), now)
+    told = peer.agent.table.fleet_digest(peer.make_beacon(), now)
     lag_s = peer.simulation.lag_s(peer.discovery.table.number)
     return (
         f"{peer.address} is {lag_s:.2f} s behind: speaks={peer.speaks} "
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/peers_sim/word_age.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/peers_sim/word_age.py
@@ -146,7 +146,7 @@
 
     def _ages(self, address, peer, now: float) -> list[float]:
         table = peer.agent.table
-        known = table.others_work(peer.make_beacon(), now)
+        known = table.peer_work(peer.make_beacon(), now)
         return [
             now - known[probe].pending_prefill[RANK] / TICK_TOKENS * TICK_S
             for holder, probe in self.probes.items()
--- a/packages/buckthornwall/src/buckthornwall/peers/agent.py
+++ b/packages/buckthornwall/src/buckthornwall/peers/agent.py
@@ -179,7 +179,7 @@
             return
         self._note_role(speaker is None, speaker)
         if speaker is not None:
-            self.table.told = own.loads
+            self.table.reported_work = own.loads
             await self._send(encode(own), speaker)
             return
         await self._speak(own, now)
@@ -327,13 +327,13 @@
 
     async def _take_digest(self, digest: Digest, now: float) -> None:
         is_own_zone = digest.zone == self.table.zone
-        if is_own_zone and digest.points_only and self.table.is_speaker(now):
+        if is_own_zone and digest.is_pointer and self.table.is_speaker(now):
             # A pointer is not the word of whom it names: taken for that, it would
             # make a speaker fall silent.
             await self.greetings.greet(digest.address)
             return
         self.table.receive_digest(digest, now)
-        if not digest.points_only:
+        if not digest.is_pointer:
             self._compare(digest, now)
         if is_own_zone and self.table.is_outranked(digest, now):
             await self.greetings.redirect(digest.address, now)
--- a/packages/buckthornwall/src/buckthornwall/peers/greetings.py
+++ b/packages/buckthornwall/src/buckthornwall/peers/greetings.py
@@ -83,7 +83,7 @@
         """
         own = self.make_beacon()
         if own.state is not PeerState.LEAVING:
-            await self.send(encode(self.table.passed_on(own, now)), address)
+            await self.send(encode(self.table.relayed_digest(own, now)), address)
 
     async def answer(self, beacon: Beacon, now: float) -> None:
         """Tell who speaks: in the greeter's zone, and for this one.
@@ -94,7 +94,7 @@
         if own.state is PeerState.LEAVING:
             await self.send(encode(own), beacon.address)
             return
-        digest = self.table.passed_on(own, now)
+        digest = self.table.relayed_digest(own, now)
         if beacon.zone == self.table.zone:
             await self.send(encode(digest), beacon.address)
             return
--- a/packages/buckthornwall/src/buckthornwall/peers/messages.py
+++ b/packages/buckthornwall/src/buckthornwall/peers/messages.py
@@ -143,7 +143,7 @@
         )
 
     @property
-    def points_only(self) -> bool:
+    def is_pointer(self) -> bool:
         """Whether this only names a zone's speaker, and tells nothing of the zone."""
         return not self.informed
 
--- a/packages/buckthornwall/src/buckthornwall/peers/table.py
+++ b/packages/buckthornwall/src/buckthornwall/peers/table.py
@@ -66,7 +66,7 @@
         self.members: dict[str, Received] = {}
         self.zones: dict[ZoneId, Received] = {}
         self.speaker: Received | None = None
-        self.told: dict[UpstreamId, Work] = {}
+        self.reported_work: dict[UpstreamId, Work] = {}
         self.leavers = Leavers(silence_s)
         self.parts = PartsTold()
         self._counts = CountsWriter()
@@ -119,7 +119,7 @@
             ):
                 self.zones[digest.zone] = Received.digest(digest, at)
                 self.parts.of_others.receive(digest.cached_prefixes, now)
-        elif not digest.points_only and self._replaces(digest, self.speaker, now):
+        elif not digest.is_pointer and self._replaces(digest, self.speaker, now):
             self.speaker = Received.digest(digest, at)
 
     def receive_heartbeat(
@@ -199,7 +199,7 @@
 
     def is_outranked(self, digest: Digest, now: float) -> bool:
         """Tell whether a higher one than a digest's sender speaks for this zone."""
-        if digest.points_only or digest.address == self.address:
+        if digest.is_pointer or digest.address == self.address:
             return False
         if self.is_speaker(now):
             return order_of(self.address, self.weight) > order_of_sender(digest)
@@ -336,19 +336,19 @@
 
     # What follows for this instance
 
-    def whole(self, own: Beacon, now: float) -> Digest:
+    def fleet_digest(self, own: Beacon, now: float) -> Digest:
         """Return the digest of the fleet as it is known here."""
         if self.is_speaker(now):
             return self.make_digest(own, is_fleet=True, now=now)
         return self.speaker.message
 
-    def passed_on(self, own: Beacon, now: float) -> Digest:
+    def relayed_digest(self, own: Beacon, now: float) -> Digest:
         """Return the digest of the fleet for an instance that asks who speaks.
 
         It says how old it is: told as if it were new, the word of a speaker that had
         died was gone by for up to twice as long.
         """
-        digest = self.whole(own, now)
+        digest = self.fleet_digest(own, now)
         return msgspec.structs.replace(digest, age_ms=self._age_ms(now), sequence=0)
 
     def _age_ms(self, now: float) -> int:
@@ -362,13 +362,13 @@
         """
         return 0.0 if self.is_speaker(now) else now - self.speaker.told_at
 
-    def others_work(self, own: Beacon, now: float) -> dict[UpstreamId, PeerLoad]:
+    def peer_work(self, own: Beacon, now: float) -> dict[UpstreamId, PeerLoad]:
         """Return the work of all other instances by upstream."""
         if self.is_speaker(now):
             loads = sum_loads(self._parts(own), self._far(is_fleet=True))
             counted = own.loads
         else:
-            loads, counted = self.speaker.message.loads, self.told
+            loads, counted = self.speaker.message.loads, self.reported_work
         return {
             upstream: without_own(work, counted.get(upstream, NOTHING))
             for upstream, work in loads.items()
--- a/packages/buckthornwall/src/buckthornwall/peers/tests/test_mutations.py
+++ b/packages/buckthornwall/src/buckthornwall/peers/tests/test_mutations.py
@@ -41,7 +41,7 @@
         listener.receive_digest(message, 0.0)
     else:
         listener.receive_beacon(message, 0.0)
-    listener.others_work(own, 0.1)
+    listener.peer_work(own, 0.1)
     listener.unreachable(own, 0.1)
     listener.make_digest(own, True, 0.1)
 
--- a/packages/buckthornwall/src/buckthornwall/peers/tests/test_packing.py
+++ b/packages/buckthornwall/src/buckthornwall/peers/tests/test_packing.py
@@ -182,7 +182,7 @@
     own = beacon(FIRST, {E1: Work(2, {5: 640}), E2: Work(1, {5: 64})})
     own.cached_prefixes = {E2: [("00c0ffee", 4000)], E1: [("s", 900)]}
     assert second.receive_heartbeat(counts(first, own, 0.2), 0.2) == own.cached_prefixes
-    others = second.others_work(beacon(SECOND), 0.2)
+    others = second.peer_work(beacon(SECOND), 0.2)
     assert others[E1].pending_prefill == {5: 640}
     assert others[E2].requests == 1
 
@@ -209,7 +209,7 @@
     told(first, beacon(FIRST, {E2: Work(1), E1: Work(3)}))  # lost on the way
     heard = second.receive_heartbeat(counts(first, beacon(FIRST), 0.2), 0.2)
     assert heard is None
-    assert second.others_work(beacon(SECOND), 0.2)[E1].requests == 1
+    assert second.peer_work(beacon(SECOND), 0.2)[E1].requests == 1
     assert second.staleness_s(0.2) == 0.0
 
 
@@ -218,8 +218,8 @@
     first, second, third = table(FIRST), table(SECOND), table("10.9.0.9:1")
     digest = told(first, beacon(FIRST, {E1: Work(1)}))
     second.receive_digest(digest, 0.0)
-    assert second.passed_on(beacon(SECOND), 0.1).sequence == 0
-    third.receive_digest(second.passed_on(beacon(SECOND), 0.1), 0.1)
+    assert second.relayed_digest(beacon(SECOND), 0.1).sequence == 0
+    third.receive_digest(second.relayed_digest(beacon(SECOND), 0.1), 0.1)
     assert third.receive_heartbeat(counts(first, beacon(FIRST), 0.2), 0.2) is None
 
 
@@ -308,7 +308,7 @@
     heartbeat = counts(first, beacon(FIRST, {E1: Work(4)}), 0.1)
     heartbeat.zone = ZoneId("elsewhere")
     assert second.receive_heartbeat(heartbeat, 0.1) is None
-    assert second.others_work(beacon(SECOND), 0.1)[E1].requests == 1
+    assert second.peer_work(beacon(SECOND), 0.1)[E1].requests == 1
 
 
 def test_whoever_is_new_is_sent_the_last_digest_once():
--- a/packages/buckthornwall/src/buckthornwall/peers/tests/test_peers.py
+++ b/packages/buckthornwall/src/buckthornwall/peers/tests/test_peers.py
@@ -118,10 +118,10 @@
     assert first.make_digest(own, False, now=0.0).loads[ENGINE] == Work(
         7, {0: 100, 5: 80}, 0
     )
-    others = first.others_work(own, 0.6)[ENGINE]
+    others = first.peer_work(own, 0.6)[ENGINE]
     assert (others.requests, others.pending_prefill) == (3, {0: 100, 5: 75})
     assert first.expire(1.0) == [SECOND]
-    assert first.others_work(own, 1.0)[ENGINE].requests == 1
+    assert first.peer_work(own, 1.0)[ENGINE].requests == 1
 
 
 def test_the_oldest_wait_of_any_instance_is_told():
@@ -132,7 +132,7 @@
     own = beacon(FIRST, {ENGINE: Work(1, {5: 9}, 0, {2: 40, 5: 300}, 50)})
     told = first.make_digest(own, True, now=0.0).loads[ENGINE]
     assert (told.oldest_ms, told.memory) == ({2: 40, 5: 700}, 140)
-    others = first.others_work(own, 0.1)[ENGINE]
+    others = first.peer_work(own, 0.1)[ENGINE]
     assert (others.oldest_s, others.memory) == ({2: 0.04, 5: 0.7}, 90)
 
 
@@ -140,11 +140,11 @@
     first, second = table(FIRST), table(SECOND)
     told = beacon(SECOND, {ENGINE: Work(2, {5: 50}, 0)})
     first.receive_beacon(told, 0.0)
-    second.told = told.loads
+    second.reported_work = told.loads
     second.receive_digest(
         first.make_digest(beacon(FIRST, {ENGINE: Work(1, {}, 0)}), True, now=0.0), 0.0
     )
-    others = second.others_work(beacon(SECOND), 0.1)[ENGINE]
+    others = second.peer_work(beacon(SECOND), 0.1)[ENGINE]
     assert (others.requests, others.pending_prefill) == (1, {})
 
 
@@ -281,7 +281,7 @@
     assert third.staleness_s(0.7) == pytest.approx(0.7)
     newer = first.make_heartbeat(beacon(FIRST, number=4, change_revision=9), True, 0.7)
     third.receive_heartbeat(newer, 0.7)
-    told = third.whole(beacon(THIRD), 0.8)
+    told = third.fleet_digest(beacon(THIRD), 0.8)
     assert third.staleness_s(0.8) == pytest.approx(0.1)
     assert (told.number, told.change_revision, told.informed) == (4, 9, FIRST)
 
--- a/packages/buckthornwall/src/buckthornwall/router/core.py
+++ b/packages/buckthornwall/src/buckthornwall/router/core.py
@@ -192,7 +192,7 @@
 
     def fleet(self) -> Digest:
         """Return what is known of all instances together."""
-        return self.peers.whole(self._beacon(), self.clock.now())
+        return self.peers.fleet_digest(self._beacon(), self.clock.now())
 
     def _beacon(self) -> Beacon:
         now = self.clock.now()
@@ -221,7 +221,7 @@
 
     def _work_told(self) -> None:
         own, now = self._beacon(), self.clock.now()
-        work = self.peers.others_work(own, now)
+        work = self.peers.peer_work(own, now)
         for view in self.pools.views.values():
             view.load.peers = work.get(view.id, NO_PEERS)
         self.pools.receive_unreachable(self.peers.unreachable(own, now))
--- a/packages/buckthornwall/src/buckthornwall/router/state_sync.py
+++ b/packages/buckthornwall/src/buckthornwall/router/state_sync.py
@@ -107,7 +107,7 @@
         return not reads or now - self._behind_since > BEHIND_S
 
     def _fleet(self) -> Digest:
-        return self.peers.whole(self.make_beacon(), self.clock.now())
+        return self.peers.fleet_digest(self.make_beacon(), self.clock.now())
 
     async def take_view(self, peer: str) -> None:
         """Put in force what the best informed peer has."""
--- a/packages/buckthornwall/src/buckthornwall/router/tests/test_state_sync.py
+++ b/packages/buckthornwall/src/buckthornwall/router/tests/test_state_sync.py
@@ -82,7 +82,7 @@
     exchange, clock, monkeypatch
 ):
     hear(exchange, clock, number=2)
-    fleet = exchange.peers.whole(beacon(OWN), clock.now())
+    fleet = exchange.peers.fleet_digest(beacon(OWN), clock.now())
     assert exchange.should_ask(fleet)
     monkeypatch.setattr(exchange, "may_read", lambda: True)
     assert not exchange.should_ask(fleet)
@@ -97,7 +97,7 @@
 async def test_what_no_peer_hands_over_is_read(exchange, clock):
     """Named as best informed, an instance that had died was asked again and again."""
     hear(exchange, clock, number=2)
-    fleet = exchange.peers.whole(beacon(OWN), clock.now())
+    fleet = exchange.peers.fleet_digest(beacon(OWN), clock.now())
     assert exchange.should_ask(fleet)
     assert not exchange.may_read()
     await exchange.take_view("127.0.0.1:1")
