--- a/packages/buckthornwall-standins/src/buckthornwall_standins/peers_sim/soak.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/peers_sim/soak.py
@@ -198,7 +198,7 @@
         f"read_s_ago={now - peer.discovery.read_at:.2f} "
         f"away={peer.discovery.is_store_unavailable} "
         f"number={peer.discovery.table.number} told={told.number} "
-        f"informed={told.informed}"
+        f"informed={told.freshest_peer}"
     )
 
 
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/tests/test_succession.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/tests/test_succession.py
@@ -187,7 +187,7 @@
         fleet.peers["10.2.0.1:7340"].make_beacon(), False, trio.current_time()
     )
     pointer.zone, pointer.address = speaker.zone, dead.address
-    pointer.count, pointer.informed = 0, ""
+    pointer.count, pointer.freshest_peer = 0, ""
     fleet.network.carry(encode(pointer), "10.2.0.1:7340", speaker.address)
     await trio.sleep(0.05)
     assert speaker.speaks
--- a/packages/buckthornwall/src/buckthornwall/peers/greetings.py
+++ b/packages/buckthornwall/src/buckthornwall/peers/greetings.py
@@ -119,7 +119,7 @@
         speakers=digest.speakers,
         number=0,
         change_revision=0,
-        informed="",
+        freshest_peer="",
         read_age_ms=NEVER_MS,
         store_uptime_ms=0,
         loads={},
--- a/packages/buckthornwall/src/buckthornwall/peers/messages.py
+++ b/packages/buckthornwall/src/buckthornwall/peers/messages.py
@@ -105,7 +105,7 @@
     `count` is the number of instances that serve, and `loads` the sum of their
     work: over the fleet if `is_fleet`, else over the zone; `cached_prefixes` are the
     shared parts of prompts that they have lately sent to each upstream. `members` gives
-    the weight of each, `speakers` the speaker's address of each zone. `informed` is
+    the weight of each, `speakers` the speaker's address of each zone. `freshest_peer` is
     the address of the instance with the highest `number` and `change_revision`, and
     `read_age_ms` how long ago the store last answered any of them, and
     `store_uptime_ms` the longest time for which it has answered one of them without an
@@ -125,7 +125,7 @@
     speakers: dict[ZoneId, str]
     number: int
     change_revision: int
-    informed: str
+    freshest_peer: str
     read_age_ms: int
     store_uptime_ms: int
     loads: dict[UpstreamId, Work]
@@ -145,7 +145,7 @@
     @property
     def is_pointer(self) -> bool:
         """Whether this only names a zone's speaker, and tells nothing of the zone."""
-        return not self.informed
+        return not self.freshest_peer
 
 
 class Heartbeat(msgspec.Struct, array_like=True, tag="h"):
@@ -165,7 +165,7 @@
     is_fleet: bool
     number: int
     change_revision: int
-    informed: str
+    freshest_peer: str
     read_age_ms: int
     store_uptime_ms: int
     sequence: int = 0
--- a/packages/buckthornwall/src/buckthornwall/peers/newest.py
+++ b/packages/buckthornwall/src/buckthornwall/peers/newest.py
@@ -13,7 +13,7 @@
     if (told.number, told.change_revision) > (known.number, known.change_revision):
         known.number = told.number
         known.change_revision = told.change_revision
-        known.informed = told.informed
+        known.freshest_peer = told.freshest_peer
 
 
 def take_read_age(heartbeat: Heartbeat, heard: Received, now: float) -> None:
--- a/packages/buckthornwall/src/buckthornwall/peers/tests/test_peers.py
+++ b/packages/buckthornwall/src/buckthornwall/peers/tests/test_peers.py
@@ -171,7 +171,7 @@
     digest = first.make_digest(
         beacon(FIRST, number=2, change_revision=20), True, now=0.0
     )
-    assert (digest.informed, digest.number) == (SECOND, 3)
+    assert (digest.freshest_peer, digest.number) == (SECOND, 3)
 
 
 def test_the_longest_unbroken_time_of_any_zone_is_told():
@@ -283,7 +283,7 @@
     third.receive_heartbeat(newer, 0.7)
     told = third.fleet_digest(beacon(THIRD), 0.8)
     assert third.staleness_s(0.8) == pytest.approx(0.1)
-    assert (told.number, told.change_revision, told.informed) == (4, 9, FIRST)
+    assert (told.number, told.change_revision, told.freshest_peer) == (4, 9, FIRST)
 
 
 def test_what_was_heard_of_a_reading_grows_older():
--- a/packages/buckthornwall/src/buckthornwall/router/state_sync.py
+++ b/packages/buckthornwall/src/buckthornwall/router/state_sync.py
@@ -90,7 +90,7 @@
             self.discovery.receive_store_uptime(fleet.store_uptime_ms / MS_PER_S)
             if self.should_ask(fleet):
                 started = self.clock.now()
-                await self.take_view(fleet.informed)
+                await self.take_view(fleet.freshest_peer)
                 await trio.sleep(view_pause_s(self.clock.now() - started))
 
     def should_ask(self, fleet: Digest) -> bool:
