--- a/packages/buckthornwall-standins/src/buckthornwall_standins/pool_sim/instance.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/pool_sim/instance.py
@@ -1,6 +1,6 @@
 """One simulated instance: its own counts, and the product's decisions."""
 
-from buckthornwall.peers import Work, without_own, work_of
+from buckthornwall.peers import Work, outstanding_work, subtract_local
 from buckthornwall.pools import (
     Choice,
     PoolTable,
@@ -151,13 +151,13 @@
         nothing = Work()
         for view in self.pools.views.values():
             total = totals.get(view.id, nothing)
-            view.load.peers = without_own(total, own.get(view.id, nothing))
+            view.load.peers = subtract_local(total, own.get(view.id, nothing))
 
     def work(self) -> dict[UpstreamId, Work]:
         """Return what this instance has at each engine where it has anything."""
         now = self.clock.now()
         return {
-            view.id: work_of(view.load, now)
+            view.id: outstanding_work(view.load, now)
             for view in self.pools.views.values()
             if view.load.requests
         }
--- a/packages/buckthornwall/src/buckthornwall/peers/__init__.py
+++ b/packages/buckthornwall/src/buckthornwall/peers/__init__.py
@@ -24,7 +24,7 @@
 from .messages import Beacon, Digest, Heartbeat, PeerState, PeerView, Work
 from .table import PeerTable
 from .views import ViewClient, answer_view
-from .work import add_work, without_own, work_of
+from .work import add_work, outstanding_work, subtract_local
 
 __all__ = [
     "Beacon",
@@ -39,6 +39,6 @@
     "Work",
     "add_work",
     "answer_view",
-    "without_own",
-    "work_of",
+    "subtract_local",
+    "outstanding_work",
 ]
--- a/packages/buckthornwall/src/buckthornwall/peers/table.py
+++ b/packages/buckthornwall/src/buckthornwall/peers/table.py
@@ -26,7 +26,7 @@
 from .parts import PartsTold
 from .received import Received
 from .sums import newest_limits, sum_loads, sum_unreachable
-from .work import NOTHING, without_own
+from .work import NOTHING, subtract_local
 
 __all__ = ["PeerTable"]
 
@@ -370,7 +370,7 @@
         else:
             loads, counted = self.speaker.message.loads, self.reported_work
         return {
-            upstream: without_own(work, counted.get(upstream, NOTHING))
+            upstream: subtract_local(work, counted.get(upstream, NOTHING))
             for upstream, work in loads.items()
         }
 
--- a/packages/buckthornwall/src/buckthornwall/peers/work.py
+++ b/packages/buckthornwall/src/buckthornwall/peers/work.py
@@ -5,7 +5,7 @@
 
 from .messages import Work
 
-__all__ = ["NOTHING", "add_work", "without_own", "work_of"]
+__all__ = ["NOTHING", "add_work", "subtract_local", "outstanding_work"]
 
 NOTHING = Work()
 MS_PER_S = 1000.0
@@ -14,7 +14,7 @@
 LEAST_TOLD_WAIT_S = 0.2
 
 
-def work_of(load: Load, now: float) -> Work:
+def outstanding_work(load: Load, now: float) -> Work:
     """Return what this instance has in flight at an upstream."""
     oldest_ms = {
         rank: int(age * MS_PER_S)
@@ -49,7 +49,7 @@
         )
 
 
-def without_own(work: Work, own: Work) -> PeerLoad:
+def subtract_local(work: Work, own: Work) -> PeerLoad:
     """Return a sum without this instance's part of it.
 
     The oldest of all stays the oldest, whoever sent it.
--- a/packages/buckthornwall/src/buckthornwall/router/core.py
+++ b/packages/buckthornwall/src/buckthornwall/router/core.py
@@ -13,7 +13,7 @@
     PeerState,
     ViewClient,
     answer_view,
-    work_of,
+    outstanding_work,
 )
 from buckthornwall.platform import (
     PlatformCodec,
@@ -197,7 +197,7 @@
     def _beacon(self) -> Beacon:
         now = self.clock.now()
         loads = {
-            view.id: work_of(view.load, now)
+            view.id: outstanding_work(view.load, now)
             for view in self.pools.views.values()
             if view.load.requests
         }
