--- a/packages/buckthornwall-standins/src/buckthornwall_standins/peers_sim/simulation.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/peers_sim/simulation.py
@@ -6,7 +6,7 @@
 
 import trio
 from buckthornwall.peers import Work
-from buckthornwall.peers.order import order_of
+from buckthornwall.peers.election import election_priority
 from buckthornwall.pools import CachedPrefixes, UpstreamEntry
 from buckthornwall.utils import UpstreamId, ZoneId
 
@@ -121,5 +121,5 @@
         """Return who speaks for a zone, the highest in the order if several do."""
         return max(
             (peer for peer in self.peers.values() if peer.zone == zone and peer.speaks),
-            key=lambda peer: order_of(peer.address, 1.0),
+            key=lambda peer: election_priority(peer.address, 1.0),
         )
--- a/packages/buckthornwall/src/buckthornwall/peers/order.py
+++ b/packages/buckthornwall/src/buckthornwall/peers/election.py
@@ -5,20 +5,20 @@
 
 from .messages import Digest
 
-__all__ = ["order_of", "order_of_sender"]
+__all__ = ["election_priority", "sender_priority"]
 
 # Addresses whose hashes are kept: those of a fleet of the size to come, twice over.
 KEPT_HASHES = 700
 
 
-def order_of(address: str, weight: float) -> tuple[float, bytes]:
+def election_priority(address: str, weight: float) -> tuple[float, bytes]:
     """Return an instance's place in the order of speakers."""
     return weight, _hash(address)
 
 
-def order_of_sender(digest: Digest) -> tuple[float, bytes]:
+def sender_priority(digest: Digest) -> tuple[float, bytes]:
     """Return the place of the speaker that a digest is of."""
-    return order_of(digest.address, digest.weight)
+    return election_priority(digest.address, digest.weight)
 
 
 @lru_cache(KEPT_HASHES)
--- a/packages/buckthornwall/src/buckthornwall/peers/table.py
+++ b/packages/buckthornwall/src/buckthornwall/peers/table.py
@@ -19,10 +19,10 @@
 from buckthornwall.utils import UpstreamId, ZoneId
 
 from .counts import CountsWriter, read_counts
+from .election import election_priority, sender_priority
 from .leavers import Leavers
 from .messages import Beacon, Digest, Heartbeat, PeerState, Work
 from .newest import take_newer, take_read_age
-from .order import order_of, order_of_sender
 from .parts import PartsTold
 from .received import Received
 from .sums import newest_limits, sum_loads, sum_unreachable
@@ -166,7 +166,7 @@
             return True
         if not digest.count:
             return False
-        return order_of_sender(digest) >= order_of_sender(current.message)
+        return sender_priority(digest) >= sender_priority(current.message)
 
     def expire(self, now: float) -> list[str]:
         """Drop who has been silent; return the members among them."""
@@ -195,23 +195,27 @@
             silent_s > self.silence_s + self._stagger(speaker.message)
         ):
             return True
-        return order_of(self.address, self.weight) > order_of_sender(speaker.message)
+        return election_priority(self.address, self.weight) > sender_priority(
+            speaker.message
+        )
 
     def is_outranked(self, digest: Digest, now: float) -> bool:
         """Tell whether a higher one than a digest's sender speaks for this zone."""
         if digest.is_pointer or digest.address == self.address:
             return False
         if self.is_speaker(now):
-            return order_of(self.address, self.weight) > order_of_sender(digest)
-        return order_of_sender(self.speaker.message) > order_of_sender(digest)
+            return election_priority(self.address, self.weight) > sender_priority(
+                digest
+            )
+        return sender_priority(self.speaker.message) > sender_priority(digest)
 
     def _stagger(self, digest: Digest) -> float:
         """Return how long those of a higher order have to speak up first."""
-        own = order_of(self.address, self.weight)
+        own = election_priority(self.address, self.weight)
         higher = sum(
             1
             for address, weight in digest.members.items()
-            if address != digest.address and order_of(address, weight) > own
+            if address != digest.address and election_priority(address, weight) > own
         )
         return higher * self.stagger_s
 
--- a/packages/buckthornwall/src/buckthornwall/peers/tests/test_peers.py
+++ b/packages/buckthornwall/src/buckthornwall/peers/tests/test_peers.py
@@ -4,8 +4,8 @@
 
 from buckthornwall.codes import PeerError
 from buckthornwall.peers import Beacon, Digest, PeerState, PeerTable, PeerView, Work
+from buckthornwall.peers.election import election_priority
 from buckthornwall.peers.messages import PeerMessage, decode, encode
-from buckthornwall.peers.order import order_of
 from buckthornwall.pools import UpstreamEntry, UpstreamState
 from buckthornwall.routing import PoolId
 from buckthornwall.utils import Incarnation, NodeId, UpstreamId, ZoneId
@@ -16,7 +16,7 @@
 # Three addresses, the highest in the order first.
 FIRST, SECOND, THIRD = sorted(
     (f"10.0.0.{n}:7340" for n in (1, 2, 3)),
-    key=lambda address: order_of(address, 1.0),
+    key=lambda address: election_priority(address, 1.0),
     reverse=True,
 )
 
