--- a/packages/buckthornwall-standins/src/buckthornwall_standins/peers_sim/peer.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/peers_sim/peer.py
@@ -113,7 +113,7 @@
         )
         self.discovery.may_read = self.state_sync.may_read
         self.discovery.on_change = self._update_adopted
-        self.agent.on_work = self._work_told
+        self.agent.on_work = self._apply_peer_work
 
     async def _open_socket(self, address: str) -> SimSocket:
         return SimSocket(self.simulation.network, address)
@@ -131,7 +131,7 @@
         self.fleet_memory.record(live, now)
         self.pools.rate_limits.update_shares(live, self.fleet_memory.lately(live, now))
 
-    def _work_told(self) -> None:
+    def _apply_peer_work(self) -> None:
         if not self.pools.views:
             return
         limits = self.agent.table.limits(self.make_beacon(), self.clock.now())
@@ -195,6 +195,6 @@
     async def leave(self, notice_s: float) -> None:
         """Stop as planned: say so for some seconds, and end."""
         self.state = PeerState.LEAVING
-        await self.agent.tell()
+        await self.agent.send_reports()
         await trio.sleep(notice_s)
         self.kill()
--- a/packages/buckthornwall/src/buckthornwall/peers/agent.py
+++ b/packages/buckthornwall/src/buckthornwall/peers/agent.py
@@ -163,43 +163,45 @@
         self._socket = await self.open_socket(self.settings.listen)
         with self._socket:
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(self._hear)
+                nursery.start_soon(self._run_receiver)
                 nursery.start_soon(self.greetings.run)
                 task_status.started()
-                await self._tell()
+                await self._run_reports()
 
-    async def tell(self) -> None:
+    async def send_reports(self) -> None:
         """Tell the speaker, or as the speaker everyone, once."""
         now = self.clock.now()
         own = self.make_beacon()
         speaker = self.table.speaker_address(now)
-        await self._tell_crashes(speaker, now)
+        await self._send_crash_reports(speaker, now)
         if own.state is PeerState.LEAVING:
-            await self._take_leave(own, speaker, now)
+            await self._announce_departure(own, speaker, now)
             return
         self._note_role(speaker is None, speaker)
         if speaker is not None:
             self.table.reported_work = own.loads
             await self._send(encode(own), speaker)
             return
-        await self._speak(own, now)
+        await self._send_speaker_reports(own, now)
         self.on_work()
 
-    async def _tell_crashes(self, speaker: str | None, now: float) -> None:
+    async def _send_crash_reports(self, speaker: str | None, now: float) -> None:
         """Tell what is new of requests that crash upstreams."""
-        for address, reports in self.crashes.due(self._told(speaker, now), now):
+        for address, reports in self.crashes.due(
+            self._report_addresses(speaker, now), now
+        ):
             message = CrashReports(self.settings.listen, reports)
             await self._send(encode(message), address)
 
-    async def _speak(self, own: Beacon, now: float) -> None:
+    async def _send_speaker_reports(self, own: Beacon, now: float) -> None:
         """Tell other speakers of this zone, and members of the fleet, what is due."""
         others = list(self.table.other_speakers().values())
-        await self._tell_word(self.speakers, own, others, now)
+        await self._send_due_report(self.speakers, own, others, now)
         members = self.table.member_addresses(now)
-        await self._tell_word(self.members, own, members, now)
+        await self._send_due_report(self.members, own, members, now)
         self.table.parts.set_interval(self.members.pacing.word_s(now))
 
-    async def _tell_word(
+    async def _send_due_report(
         self, listeners: Listeners, own: Beacon, addresses: list[str], now: float
     ) -> None:
         form = listeners.pacing.due(now) if addresses else None
@@ -209,12 +211,12 @@
                 await self._send(listeners.digest, address)
         if form is None:
             return
-        data = encode(self._make_word(form, own, listeners.is_fleet, now))
+        data = encode(self._make_report(form, own, listeners.is_fleet, now))
         listeners.note(form, data, addresses, now)
         for address in addresses:
             await self._send(data, address)
 
-    def _make_word(
+    def _make_report(
         self, form: WordForm, own: Beacon, is_fleet: bool, now: float
     ) -> Digest | Heartbeat:
         if form is WordForm.DIGEST:
@@ -226,13 +228,15 @@
             self.table.add_counts(heartbeat, own, now)
         return heartbeat
 
-    async def _take_leave(self, own: Beacon, speaker: str | None, now: float) -> None:
+    async def _announce_departure(
+        self, own: Beacon, speaker: str | None, now: float
+    ) -> None:
         """Tell who counts this instance that it leaves, and speak no more."""
         data = encode(own)
-        for address in self._told(speaker, now):
+        for address in self._report_addresses(speaker, now):
             await self._send(data, address)
 
-    def _told(self, speaker: str | None, now: float) -> list[str]:
+    def _report_addresses(self, speaker: str | None, now: float) -> list[str]:
         """Return whom this instance tells: its speaker, or as the speaker everyone."""
         if speaker is not None:
             return [speaker]
@@ -246,13 +250,13 @@
                 listeners.begin(self.clock.now())
             log_event("zone_speaker", own=is_speaker, speaker=speaker or "")
 
-    async def _tell(self) -> None:
+    async def _run_reports(self) -> None:
         while True:
             gone = self.table.expire(self.clock.now())
             if self._was_speaker:  # members of others tell those, and are not lost
                 for address in gone:
                     log_event("peer_lost", "WARNING", peer=address)
-            await self.tell()
+            await self.send_reports()
             turn_ms = (
                 self.settings.digest_ms
                 if self._was_speaker
@@ -268,7 +272,7 @@
         except OSError as error:
             log_event("beacon_not_sent", "DEBUG", address=address, detail=error)
 
-    async def _hear(self) -> None:
+    async def _run_receiver(self) -> None:
         while True:
             try:
                 data, _ = await self._socket.recvfrom(MAX_DATAGRAM_BYTES)
@@ -280,12 +284,12 @@
             except PeerError as error:
                 log_event("beacon_refused", "WARNING", detail=error)
                 continue
-            await self._take(message)
+            await self._handle(message)
 
-    async def _take(self, message: PeerMessage) -> None:
+    async def _handle(self, message: PeerMessage) -> None:
         now = self.clock.now()
         if isinstance(message, Heartbeat):
-            self._take_heartbeat(message, now)
+            self._handle_heartbeat(message, now)
             return
         if isinstance(message, CrashReports):
             for report in message.reports:
@@ -293,31 +297,31 @@
             return
         self.on_cached_prefixes(message.cached_prefixes)
         if isinstance(message, Digest):
-            await self._take_digest(message, now)
+            await self._handle_digest(message, now)
             return
-        await self._take_beacon(message, now)
+        await self._handle_beacon(message, now)
 
-    def _take_heartbeat(self, heartbeat: Heartbeat, now: float) -> None:
+    def _handle_heartbeat(self, heartbeat: Heartbeat, now: float) -> None:
         try:
             cached_prefixes = self.table.receive_heartbeat(heartbeat, now)
         except PeerError as error:
             log_event("beacon_refused", "WARNING", detail=error)
             return
-        self._compare(heartbeat, now)
+        self._note_checksum(heartbeat, now)
         if cached_prefixes is None:
             return
         self.on_cached_prefixes(cached_prefixes)
         if heartbeat.zone == self.table.zone:
             self.on_work()
 
-    def _compare(self, message: Beacon | Digest | Heartbeat, now: float) -> None:
+    def _note_checksum(self, message: Beacon | Digest | Heartbeat, now: float) -> None:
         if message.address != self.settings.listen:  # its own may be passed on to it
             self.crashes.note_checksum(message.address, message.crash_checksum, now)
 
-    async def _take_beacon(self, beacon: Beacon, now: float) -> None:
+    async def _handle_beacon(self, beacon: Beacon, now: float) -> None:
         if self.table.receive_beacon(beacon, now):
             log_event("peer_heard", peer=beacon.address, zone=beacon.zone)
-        self._compare(beacon, now)
+        self._note_checksum(beacon, now)
         if beacon.greets:
             await self.greetings.answer(beacon, now)
         elif beacon.state is PeerState.LEAVING or beacon.zone != self.table.zone:
@@ -325,7 +329,7 @@
         elif not self.table.is_speaker(now):
             await self.greetings.redirect(beacon.address, now)
 
-    async def _take_digest(self, digest: Digest, now: float) -> None:
+    async def _handle_digest(self, digest: Digest, now: float) -> None:
         is_own_zone = digest.zone == self.table.zone
         if is_own_zone and digest.is_pointer and self.table.is_speaker(now):
             # A pointer is not the word of whom it names: taken for that, it would
@@ -334,7 +338,7 @@
             return
         self.table.receive_digest(digest, now)
         if not digest.is_pointer:
-            self._compare(digest, now)
+            self._note_checksum(digest, now)
         if is_own_zone and self.table.is_outranked(digest, now):
             await self.greetings.redirect(digest.address, now)
         elif is_own_zone and digest.is_fleet:
--- a/packages/buckthornwall/src/buckthornwall/router/core.py
+++ b/packages/buckthornwall/src/buckthornwall/router/core.py
@@ -128,7 +128,7 @@
         self.discovery.on_gone = self.forwarder.forget_upstream
         self.discovery.on_restart = self.forwarder.connections.abandon
         self.discovery.on_call = self._count_store_call
-        self.peer_agent.on_work = self._work_told
+        self.peer_agent.on_work = self._apply_peer_work
         self.peer_agent.on_cached_prefixes = self.pools.receive_cached_prefixes
         self.forwarder.account.describe_freshness = self.state_sync.describe_freshness
 
@@ -219,7 +219,7 @@
             limits=self.pools.rate_limits.reports(),
         )
 
-    def _work_told(self) -> None:
+    def _apply_peer_work(self) -> None:
         own, now = self._beacon(), self.clock.now()
         work = self.peers.peer_work(own, now)
         for view in self.pools.views.values():
--- a/packages/buckthornwall/src/buckthornwall/router/stopping.py
+++ b/packages/buckthornwall/src/buckthornwall/router/stopping.py
@@ -30,7 +30,7 @@
     log_event("stopping", active=router.callers.active)
     router.state = PeerState.LEAVING
     router.callers.closing = True
-    await router.peer_agent.tell()
+    await router.peer_agent.send_reports()
     with trio.move_on_after(stop.notice_s):
         await trio.sleep_forever()
     router.refusing = True
