--- a/packages/buckthornwall-standins/src/buckthornwall_standins/tests/test_succession.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/tests/test_succession.py
@@ -214,9 +214,9 @@
     fleet.make_loads = lambda address: loads
     peers = await settled(fleet, 8)
     speaker = fleet.speaker("z")
-    pacing = speaker.agent.members.pacing
-    assert pacing.digest_s(trio.current_time()) > 0.8
-    assert pacing.counts_s > 0.8
+    pacing = speaker.agent.member_recipients.pacing
+    assert pacing.digest_interval_s(trio.current_time()) > 0.8
+    assert pacing.counts_interval_s > 0.8
     speakers, zones = set(), set()
     for _ in range(100):
         await trio.sleep(0.05)
--- a/packages/buckthornwall/src/buckthornwall/peers/agent.py
+++ b/packages/buckthornwall/src/buckthornwall/peers/agent.py
@@ -14,7 +14,6 @@
 
 from .crash_exchange import CrashExchange
 from .greetings import GREET_INTERVAL_S, Greetings
-from .listeners import Listeners
 from .messages import (
     Beacon,
     CrashReports,
@@ -25,7 +24,8 @@
     decode,
     encode,
 )
-from .pacing import WordForm, WordPacing
+from .pacing import ReportKind, ReportPacing
+from .recipients import RecipientGroup
 from .table import PeerTable
 
 __all__ = ["PeerAgent", "PeerSettings"]
@@ -144,13 +144,13 @@
         )
         self.open_socket: Callable[[str], Awaitable[SocketType]] = open_socket
         self.bytes_sent = 0
-        turn_s = settings.digest_ms / MS_PER_S
+        interval_s = settings.digest_ms / MS_PER_S
         heartbeat_s = settings.heartbeat_ms / MS_PER_S
-        self.speakers = Listeners(
-            False, WordPacing(turn_s, heartbeat_s, settings.zone_bytes_per_s)
+        self.speaker_recipients = RecipientGroup(
+            False, ReportPacing(interval_s, heartbeat_s, settings.zone_bytes_per_s)
         )
-        self.members = Listeners(
-            True, WordPacing(turn_s, heartbeat_s, settings.digest_bytes_per_s)
+        self.member_recipients = RecipientGroup(
+            True, ReportPacing(interval_s, heartbeat_s, settings.digest_bytes_per_s)
         )
         self.greetings = Greetings(
             lambda: settings.seeds, self.table, make_beacon, self._send, clock
@@ -196,35 +196,37 @@
     async def _send_speaker_reports(self, own: Beacon, now: float) -> None:
         """Tell other speakers of this zone, and members of the fleet, what is due."""
         others = list(self.table.other_speakers().values())
-        await self._send_due_report(self.speakers, own, others, now)
+        await self._send_due_report(self.speaker_recipients, own, others, now)
         members = self.table.member_addresses(now)
-        await self._send_due_report(self.members, own, members, now)
-        self.table.parts.set_interval(self.members.pacing.word_s(now))
+        await self._send_due_report(self.member_recipients, own, members, now)
+        self.table.parts.set_interval(
+            self.member_recipients.pacing.max_counts_age_s(now)
+        )
 
     async def _send_due_report(
-        self, listeners: Listeners, own: Beacon, addresses: list[str], now: float
+        self, recipients: RecipientGroup, own: Beacon, addresses: list[str], now: float
     ) -> None:
-        form = listeners.pacing.due(now) if addresses else None
-        newcomers = listeners.newcomers(addresses)
-        if form is not WordForm.DIGEST:
-            for address in newcomers:
-                await self._send(listeners.digest, address)
-        if form is None:
+        kind = recipients.pacing.due(now) if addresses else None
+        new_recipients = recipients.new_recipients(addresses)
+        if kind is not ReportKind.DIGEST:
+            for address in new_recipients:
+                await self._send(recipients.last_digest, address)
+        if kind is None:
             return
-        data = encode(self._make_report(form, own, listeners.is_fleet, now))
-        listeners.note(form, data, addresses, now)
+        data = encode(self._make_report(kind, own, recipients.is_fleet, now))
+        recipients.record_sent(kind, data, addresses, now)
         for address in addresses:
             await self._send(data, address)
 
     def _make_report(
-        self, form: WordForm, own: Beacon, is_fleet: bool, now: float
+        self, kind: ReportKind, own: Beacon, is_fleet: bool, now: float
     ) -> Digest | Heartbeat:
-        if form is WordForm.DIGEST:
+        if kind is ReportKind.DIGEST:
             digest = self.table.make_digest(own, is_fleet, now)
             self.table.number(digest)
             return digest
         heartbeat = self.table.make_heartbeat(own, is_fleet, now)
-        if form is WordForm.COUNTS:
+        if kind is ReportKind.COUNTS:
             self.table.add_counts(heartbeat, own, now)
         return heartbeat
 
@@ -246,8 +248,8 @@
     def _note_role(self, is_speaker: bool, speaker: str | None) -> None:
         if is_speaker != self._was_speaker:
             self._was_speaker = is_speaker
-            for listeners in (self.speakers, self.members):
-                listeners.begin(self.clock.now())
+            for recipients in (self.speaker_recipients, self.member_recipients):
+                recipients.reset(self.clock.now())
             log_event("zone_speaker", own=is_speaker, speaker=speaker or "")
 
     async def _run_reports(self) -> None:
--- a/packages/buckthornwall/src/buckthornwall/peers/pacing.py
+++ b/packages/buckthornwall/src/buckthornwall/peers/pacing.py
@@ -1,21 +1,21 @@
-"""How often a speaker tells what, within the bytes that its listeners are sent."""
+"""How often a speaker tells what, within the bytes that its recipients are sent."""
 
 from enum import Enum
 
-__all__ = ["WordForm", "WordPacing"]
+__all__ = ["ReportKind", "ReportPacing"]
 
 # Where whole digests cannot come with every turn, they take this part of the bytes and
 # counts the rest: members' addresses change by the minute, counts with every request.
 DIGEST_SHARE = 0.25
 # Digests are never further apart, in seconds: counts name upstreams by the list that a
 # digest gave, so who missed one goes by old counts for that long.
-MOST_DIGEST_S = 2.0
+MAX_DIGEST_INTERVAL_S = 2.0
 # A new speaker is known by its digests alone, and datagrams are lost: it tells them as
 # often as the bytes allow for so many seconds.
-FIRST_S = 3.0
+NEW_SPEAKER_S = 3.0
 
 
-class WordForm(Enum):
+class ReportKind(Enum):
     """What a speaker tells at one turn."""
 
     DIGEST = "digest"  # everything
@@ -23,12 +23,12 @@
     HEARTBEAT = "heartbeat"  # what is newest
 
 
-class WordPacing:
-    """What is due to one group of listeners; times are in seconds.
+class ReportPacing:
+    """What is due to one group of recipients; times are in seconds.
 
     Parameters
     ----------
-    turn_s
+    interval_s
         Seconds between two turns of the speaker.
     heartbeat_s
         The longest time without a word.
@@ -36,56 +36,58 @@
         Most bytes that one listener is sent in a second.
     """
 
-    def __init__(self, turn_s: float, heartbeat_s: float, bytes_per_s: float) -> None:
-        self.turn_s = turn_s
+    def __init__(
+        self, interval_s: float, heartbeat_s: float, bytes_per_s: float
+    ) -> None:
+        self.interval_s = interval_s
         self.heartbeat_s = heartbeat_s
         self.bytes_per_s = bytes_per_s
-        self.begin(0.0)
+        self.reset(0.0)
 
-    def begin(self, now: float) -> None:
+    def reset(self, now: float) -> None:
         """Start afresh: who speaks from now on tells everything first."""
         never = float("-inf")
-        self.began_at = now
-        self._sizes = {WordForm.DIGEST: 0, WordForm.COUNTS: 0}
-        self._at = dict.fromkeys(WordForm, never)
+        self.active_since = now
+        self._sizes = {ReportKind.DIGEST: 0, ReportKind.COUNTS: 0}
+        self._sent_at = dict.fromkeys(ReportKind, never)
 
-    def due(self, now: float) -> WordForm | None:
+    def due(self, now: float) -> ReportKind | None:
         """Return what is to be told at this turn, or None for nothing."""
-        soon = now + self.turn_s / 2  # timers are late by a little
-        if soon - self._at[WordForm.DIGEST] >= self.digest_s(now):
-            return WordForm.DIGEST
-        if soon - self._told_at(WordForm.COUNTS) >= self.counts_s:
-            return WordForm.COUNTS
-        if soon - self._told_at(WordForm.HEARTBEAT) >= self.heartbeat_s:
-            return WordForm.HEARTBEAT
+        soon = now + self.interval_s / 2  # timers are late by a little
+        if soon - self._sent_at[ReportKind.DIGEST] >= self.digest_interval_s(now):
+            return ReportKind.DIGEST
+        if soon - self._last_sent_at(ReportKind.COUNTS) >= self.counts_interval_s:
+            return ReportKind.COUNTS
+        if soon - self._last_sent_at(ReportKind.HEARTBEAT) >= self.heartbeat_s:
+            return ReportKind.HEARTBEAT
         return None
 
-    def note(self, form: WordForm, size: int, now: float) -> None:
+    def record_sent(self, kind: ReportKind, size: int, now: float) -> None:
         """Record that a word of `size` bytes was told to each listener."""
-        self._at[form] = now
-        if form in self._sizes:
-            self._sizes[form] = size
+        self._sent_at[kind] = now
+        if kind in self._sizes:
+            self._sizes[kind] = size
 
-    def _told_at(self, form: WordForm) -> float:
-        """Return when a form was told, by itself or in a fuller one."""
-        forms = list(WordForm)
-        return max(self._at[each] for each in forms[: forms.index(form) + 1])
+    def _last_sent_at(self, kind: ReportKind) -> float:
+        """Return when a kind was told, by itself or in a fuller one."""
+        kinds = list(ReportKind)
+        return max(self._sent_at[each] for each in kinds[: kinds.index(kind) + 1])
 
-    def digest_s(self, now: float) -> float:
+    def digest_interval_s(self, now: float) -> float:
         """Return the time between two digests."""
-        whole_s = self._sizes[WordForm.DIGEST] / self.bytes_per_s
-        if whole_s <= self.turn_s:
-            return self.turn_s
-        if now - self.began_at > FIRST_S:
-            whole_s /= DIGEST_SHARE
-        return min(whole_s, MOST_DIGEST_S)
+        digest_s = self._sizes[ReportKind.DIGEST] / self.bytes_per_s
+        if digest_s <= self.interval_s:
+            return self.interval_s
+        if now - self.active_since > NEW_SPEAKER_S:
+            digest_s /= DIGEST_SHARE
+        return min(digest_s, MAX_DIGEST_INTERVAL_S)
 
     @property
-    def counts_s(self) -> float:
+    def counts_interval_s(self) -> float:
         """The time between two words that hold counts."""
         rate = self.bytes_per_s * (1 - DIGEST_SHARE)
-        return max(self.turn_s, self._sizes[WordForm.COUNTS] / rate)
+        return max(self.interval_s, self._sizes[ReportKind.COUNTS] / rate)
 
-    def word_s(self, now: float) -> float:
-        """Return the time between two words that hold counts, of either form."""
-        return min(self.digest_s(now), self.counts_s)
+    def max_counts_age_s(self, now: float) -> float:
+        """Return the time between two words that hold counts, of either kind."""
+        return min(self.digest_interval_s(now), self.counts_interval_s)
--- a/packages/buckthornwall/src/buckthornwall/peers/tests/test_packing.py
+++ b/packages/buckthornwall/src/buckthornwall/peers/tests/test_packing.py
@@ -11,20 +11,20 @@
 
 from buckthornwall.codes import PeerError
 from buckthornwall.peers import Heartbeat, PeerTable, Work
-from buckthornwall.peers.listeners import Listeners
 from buckthornwall.peers.messages import (
     MOST_DATAGRAM_BYTES,
     PeerMessage,
     decode,
     encode,
 )
-from buckthornwall.peers.pacing import MOST_DIGEST_S, WordForm, WordPacing
+from buckthornwall.peers.pacing import MAX_DIGEST_INTERVAL_S, ReportKind, ReportPacing
 from buckthornwall.peers.packing import (
     pack_cached_prefixes,
     pack_loads,
     unpack_cached_prefixes,
     unpack_loads,
 )
+from buckthornwall.peers.recipients import RecipientGroup
 from buckthornwall.utils import UpstreamId, ZoneId
 
 from .test_peers import FIRST, SECOND, beacon, table
@@ -251,55 +251,55 @@
 def play(pacing, digest_bytes, counts_bytes, seconds=30.0):
     """Return what was told when, and how many bytes of it."""
     sizes = {
-        WordForm.DIGEST: digest_bytes,
-        WordForm.COUNTS: counts_bytes,
-        WordForm.HEARTBEAT: 70,
+        ReportKind.DIGEST: digest_bytes,
+        ReportKind.COUNTS: counts_bytes,
+        ReportKind.HEARTBEAT: 70,
     }
     words, total, now = [], 0, 0.0
-    pacing.begin(now)
+    pacing.reset(now)
     while now < seconds:
         form = pacing.due(now)
         if form is not None:
-            pacing.note(form, sizes[form], now)
+            pacing.record_sent(form, sizes[form], now)
             words.append((now, form))
             total += sizes[form]
         now += TURN_S
     return words, total / seconds
 
 
-def longest_gap(words, forms):
-    times = [at for at, form in words if form in forms]
+def longest_gap(words, kinds):
+    times = [at for at, form in words if form in kinds]
     return max(later - at for at, later in zip(times, times[1:], strict=False))
 
 
 def test_short_digests_come_with_every_turn():
-    words, _ = play(WordPacing(TURN_S, 0.2, 5000.0), 400, 200)
-    assert {form for _, form in words} == {WordForm.DIGEST}
-    assert longest_gap(words, WordForm) < 1.5 * TURN_S
+    words, _ = play(ReportPacing(TURN_S, 0.2, 5000.0), 400, 200)
+    assert {form for _, form in words} == {ReportKind.DIGEST}
+    assert longest_gap(words, ReportKind) < 1.5 * TURN_S
 
 
 @pytest.mark.parametrize(("digest_bytes", "counts_bytes"), [(2700, 700), (900, 300)])
 def test_counts_come_between_long_digests_within_the_bytes(digest_bytes, counts_bytes):
     words, bytes_per_s = play(
-        WordPacing(TURN_S, 0.2, 5000.0), digest_bytes, counts_bytes
+        ReportPacing(TURN_S, 0.2, 5000.0), digest_bytes, counts_bytes
     )
-    assert longest_gap(words, {WordForm.DIGEST, WordForm.COUNTS}) <= 0.3
+    assert longest_gap(words, {ReportKind.DIGEST, ReportKind.COUNTS}) <= 0.3
     assert bytes_per_s < 1.2 * 5000.0
 
 
 def test_nobody_goes_without_a_word_however_long_counts_are():
-    words, _ = play(WordPacing(TURN_S, 0.2, 5000.0), 15_000, 6_000)
-    assert longest_gap(words, WordForm) <= 0.3
-    assert longest_gap(words, {WordForm.DIGEST}) <= MOST_DIGEST_S + 0.2
+    words, _ = play(ReportPacing(TURN_S, 0.2, 5000.0), 15_000, 6_000)
+    assert longest_gap(words, ReportKind) <= 0.3
+    assert longest_gap(words, {ReportKind.DIGEST}) <= MAX_DIGEST_INTERVAL_S + 0.2
 
 
 def test_a_new_speaker_is_told_of_by_digests_first():
-    pacing = WordPacing(TURN_S, 0.2, 5000.0)
+    pacing = ReportPacing(TURN_S, 0.2, 5000.0)
     words, _ = play(pacing, 2700, 700)
-    digests = [at for at, form in words if form is WordForm.DIGEST]
+    digests = [at for at, form in words if form is ReportKind.DIGEST]
     assert sum(at <= 3.0 for at in digests) >= 4
-    pacing.begin(40.0)
-    assert pacing.due(40.0) is WordForm.DIGEST
+    pacing.reset(40.0)
+    assert pacing.due(40.0) is ReportKind.DIGEST
 
 
 def test_an_instance_of_the_zone_named_otherwise_is_not_heard():
@@ -313,12 +313,12 @@
 
 def test_whoever_is_new_is_sent_the_last_digest_once():
     """Zones known of each other by turns never met a digest sent each 2 s."""
-    listeners = Listeners(False, WordPacing(TURN_S, 0.2, 5000.0))
-    assert listeners.newcomers(["a"]) == []
-    listeners.note(WordForm.DIGEST, b"digest", ["a"], 0.0)
-    assert listeners.newcomers(["a", "b"]) == ["b"]
-    assert listeners.newcomers(["a", "b"]) == []
-    assert listeners.newcomers(["a"]) == []
-    assert listeners.newcomers(["a", "b"]) == ["b"]
-    listeners.begin(9.0)
-    assert listeners.newcomers(["c"]) == []
+    recipients = RecipientGroup(False, ReportPacing(TURN_S, 0.2, 5000.0))
+    assert recipients.new_recipients(["a"]) == []
+    recipients.record_sent(ReportKind.DIGEST, b"digest", ["a"], 0.0)
+    assert recipients.new_recipients(["a", "b"]) == ["b"]
+    assert recipients.new_recipients(["a", "b"]) == []
+    assert recipients.new_recipients(["a"]) == []
+    assert recipients.new_recipients(["a", "b"]) == ["b"]
+    recipients.reset(9.0)
+    assert recipients.new_recipients(["c"]) == []
