--- a/packages/buckthornwall/src/buckthornwall/peers/__init__.py
+++ b/packages/buckthornwall/src/buckthornwall/peers/__init__.py
@@ -14,7 +14,7 @@
 `packing`     counts of work in few bytes
 `pacing`      how often a speaker tells what
 `listeners`   whom it tells the same words
-`greetings`   how instances find the speaker of their zone
+`speaker_lookup`   how instances find the speaker of their zone
 `agent`       the tasks that tell and hear
 `views`       asking a peer for what is in force, and answering that
 ============= ============================================================
--- a/packages/buckthornwall/src/buckthornwall/peers/agent.py
+++ b/packages/buckthornwall/src/buckthornwall/peers/agent.py
@@ -13,7 +13,6 @@
 from buckthornwall.utils import Clock, ConfigItem, ConfigNamespace, ZoneId
 
 from .crash_exchange import CrashExchange
-from .greetings import GREET_INTERVAL_S, Greetings
 from .messages import (
     Beacon,
     CrashReports,
@@ -26,6 +25,7 @@
 )
 from .pacing import ReportKind, ReportPacing
 from .recipients import RecipientGroup
+from .speaker_lookup import LOOKUP_INTERVAL_S, SpeakerLookup
 from .table import PeerTable
 
 __all__ = ["PeerAgent", "PeerSettings"]
@@ -46,7 +46,8 @@
         required=True,
     )
     seeds = ConfigItem(
-        [], "Instances to greet first, as IP:port; only the IP number is used."
+        [],
+        "Instances to request_speaker first, as IP:port; only the IP number is used.",
     )
     weight = ConfigItem(
         1.0,
@@ -152,7 +153,7 @@
         self.member_recipients = RecipientGroup(
             True, ReportPacing(interval_s, heartbeat_s, settings.digest_bytes_per_s)
         )
-        self.greetings = Greetings(
+        self.speaker_lookup = SpeakerLookup(
             lambda: settings.seeds, self.table, make_beacon, self._send, clock
         )
         self._was_speaker = False
@@ -164,7 +165,7 @@
         with self._socket:
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(self._run_receiver)
-                nursery.start_soon(self.greetings.run)
+                nursery.start_soon(self.speaker_lookup.run)
                 task_status.started()
                 await self._run_reports()
 
@@ -281,7 +282,7 @@
                 message = decode(data, PeerMessage)
             except OSError as error:
                 log_event("beacon_not_heard", "DEBUG", detail=error)
-                await trio.sleep(GREET_INTERVAL_S)
+                await trio.sleep(LOOKUP_INTERVAL_S)
                 continue
             except PeerError as error:
                 log_event("beacon_refused", "WARNING", detail=error)
@@ -324,24 +325,24 @@
         if self.table.receive_beacon(beacon, now):
             log_event("peer_heard", peer=beacon.address, zone=beacon.zone)
         self._note_checksum(beacon, now)
-        if beacon.greets:
-            await self.greetings.answer(beacon, now)
+        if beacon.requests_speaker:
+            await self.speaker_lookup.answer(beacon, now)
         elif beacon.state is PeerState.LEAVING or beacon.zone != self.table.zone:
             return
         elif not self.table.is_speaker(now):
-            await self.greetings.redirect(beacon.address, now)
+            await self.speaker_lookup.redirect(beacon.address, now)
 
     async def _handle_digest(self, digest: Digest, now: float) -> None:
         is_own_zone = digest.zone == self.table.zone
         if is_own_zone and digest.is_pointer and self.table.is_speaker(now):
             # A pointer is not the word of whom it names: taken for that, it would
             # make a speaker fall silent.
-            await self.greetings.greet(digest.address)
+            await self.speaker_lookup.request_speaker(digest.address)
             return
         self.table.receive_digest(digest, now)
         if not digest.is_pointer:
             self._note_checksum(digest, now)
         if is_own_zone and self.table.is_outranked(digest, now):
-            await self.greetings.redirect(digest.address, now)
+            await self.speaker_lookup.redirect(digest.address, now)
         elif is_own_zone and digest.is_fleet:
             self.on_work()
--- a/packages/buckthornwall/src/buckthornwall/peers/messages.py
+++ b/packages/buckthornwall/src/buckthornwall/peers/messages.py
@@ -75,7 +75,7 @@
     `read_age_ms` how long ago the store last answered here, `store_uptime_ms` for how
     long it has done so without an outage. `loads` names upstreams with work from
     this instance, `cached_prefixes` the shared parts of prompts that it has lately sent
-    to each, `unreachable` upstreams that it could lately not reach. `greets` asks for
+    to each, `unreachable` upstreams that it could lately not reach. `requests_speaker` asks for
     an answer: the sender does not know its zone's speaker. `crash_checksum` is that
     of what it knows of requests that crash upstreams. `limits` tells how many requests
     a second upstreams take, as they told the sender.
@@ -92,7 +92,7 @@
     read_age_ms: int
     store_uptime_ms: int
     loads: dict[UpstreamId, Work]
-    greets: bool = False
+    requests_speaker: bool = False
     cached_prefixes: CachedPrefixes = {}
     unreachable: list[UpstreamId] = []
     crash_checksum: int = 0
--- a/packages/buckthornwall/src/buckthornwall/peers/greetings.py
+++ b/packages/buckthornwall/src/buckthornwall/peers/speaker_lookup.py
@@ -9,21 +9,21 @@
 from .messages import Beacon, Digest, PeerState, encode
 from .table import PeerTable
 
-__all__ = ["GREET_INTERVAL_S", "Greetings"]
+__all__ = ["LOOKUP_INTERVAL_S", "SpeakerLookup"]
 
-GREET_INTERVAL_S = 0.5
+LOOKUP_INTERVAL_S = 0.5
 # A speaker looks for others that it does not know of this often.
-SEEK_INTERVAL_S = 2.0
-NEVER_MS = 1_000_000_000
+SLOW_LOOKUP_INTERVAL_S = 2.0
+UNKNOWN_AGE_MS = 1_000_000_000
 
 
-class Greetings:
+class SpeakerLookup:
     """Asks who speaks, and answers those that ask.
 
     Parameters
     ----------
     seeds
-        Returns the instances to greet first, as IP:port, which may change; only the IP
+        Returns the instances to request_speaker first, as IP:port, which may change; only the IP
         number is used.
     table
         What is known of the others.
@@ -58,27 +58,27 @@
             now = self.clock.now()
             is_speaker = self.table.is_speaker(now)
             if is_speaker and self.make_beacon().state is not PeerState.LEAVING:
-                await self._greet_seeds()
+                await self._query_seeds()
             knows_others = self.table.members or self.table.zones
             is_slow = not is_speaker or knows_others
-            await trio.sleep(SEEK_INTERVAL_S if is_slow else GREET_INTERVAL_S)
+            await trio.sleep(SLOW_LOOKUP_INTERVAL_S if is_slow else LOOKUP_INTERVAL_S)
 
-    async def _greet_seeds(self) -> None:
+    async def _query_seeds(self) -> None:
         port = self.table.address.rpartition(":")[2]
         for seed in self.seeds():
-            await self.greet(f"{seed.partition(':')[0]}:{port}")
+            await self.request_speaker(f"{seed.partition(':')[0]}:{port}")
 
-    async def greet(self, address: str) -> None:
+    async def request_speaker(self, address: str) -> None:
         """Ask an instance who speaks for this one's zone."""
         own = self.make_beacon()
-        own.greets = True
+        own.requests_speaker = True
         if address != self.table.address:
             await self.send(encode(own), address)
 
     async def redirect(self, address: str, now: float) -> None:
         """Tell an instance that goes by another one who speaks for the zone.
 
-        Left to greetings, instances that start together would have several speakers
+        Left to speaker_lookup, instances that start together would have several speakers
         for seconds, each with a part of the members.
         """
         own = self.make_beacon()
@@ -98,16 +98,16 @@
         if beacon.zone == self.table.zone:
             await self.send(encode(digest), beacon.address)
             return
-        own_zone = digest if not digest.is_fleet else _zone_only(digest)
+        own_zone = digest if not digest.is_fleet else _speaker_pointer(digest)
         await self.send(encode(own_zone), beacon.address)
         speaker = digest.speakers.get(beacon.zone)
         if speaker is not None and speaker != beacon.address:
-            pointer = _zone_only(digest)
+            pointer = _speaker_pointer(digest)
             pointer.zone, pointer.address = beacon.zone, speaker
             await self.send(encode(pointer), beacon.address)
 
 
-def _zone_only(digest: Digest) -> Digest:
+def _speaker_pointer(digest: Digest) -> Digest:
     """Return who speaks, without work that would be counted twice."""
     return Digest(
         address=digest.address,
@@ -120,7 +120,7 @@
         number=0,
         change_revision=0,
         freshest_peer="",
-        read_age_ms=NEVER_MS,
+        read_age_ms=UNKNOWN_AGE_MS,
         store_uptime_ms=0,
         loads={},
     )
--- a/packages/buckthornwall/src/buckthornwall/peers/tests/test_greetings.py
+++ b/packages/buckthornwall/src/buckthornwall/peers/tests/test_speaker_lookup.py
@@ -1,10 +1,10 @@
-"""Tests of whom an instance greets that knows nobody."""
+"""Tests of whom an instance requests_speaker that knows nobody."""
 
 import trio
 
 from buckthornwall.peers import Beacon, PeerState, PeerTable
-from buckthornwall.peers.greetings import Greetings
 from buckthornwall.peers.messages import decode
+from buckthornwall.peers.speaker_lookup import SpeakerLookup
 from buckthornwall.utils import Incarnation, NodeId, TrioClock, ZoneId
 
 OWN, FIRST, SECOND = (f"10.0.0.{n}:7340" for n in (1, 2, 3))
@@ -20,11 +20,11 @@
     seeds, sent = [OWN, "10.0.0.2:9"], []
 
     async def send(data, address):
-        sent.append((address, decode(data, Beacon).greets))
+        sent.append((address, decode(data, Beacon).requests_speaker))
 
     table = PeerTable(OWN, 1.0, ZoneId("z"), 0.8, 0.1)
-    greetings = Greetings(lambda: seeds, table, beacon, send, TrioClock())
-    nursery.start_soon(greetings.run)
+    speaker_lookup = SpeakerLookup(lambda: seeds, table, beacon, send, TrioClock())
+    nursery.start_soon(speaker_lookup.run)
     await trio.sleep(0.1)
     assert sent == [(FIRST, True)]
     seeds = ["10.0.0.3:9"]
