--- a/packages/buckthornwall/src/buckthornwall/peers/__init__.py
+++ b/packages/buckthornwall/src/buckthornwall/peers/__init__.py
@@ -4,7 +4,7 @@
 `messages`    beacons, digests, heartbeats, and the view that a peer may ask for
 `table`       who speaks for a zone, and what it tells
 `received`    the last message of a sender
-`leavers`     who has said that it leaves
+`departures`     who has said that it leaves
 `order`       the order in which instances speak
 `newest`      what is newest of two words
 `parts`       which parts of prompts a speaker tells of
--- a/packages/buckthornwall/src/buckthornwall/peers/leavers.py
+++ b/packages/buckthornwall/src/buckthornwall/peers/departures.py
@@ -4,10 +4,10 @@
 
 from .messages import Beacon
 
-__all__ = ["Leavers"]
+__all__ = ["DepartingPeers"]
 
 
-class Leavers:
+class DepartingPeers:
     """Who leaves; each says so until it has ended.
 
     Parameters
@@ -18,32 +18,32 @@
 
     def __init__(self, silence_s: float) -> None:
         self.silence_s = silence_s
-        self._words: dict[str, tuple[Beacon, float]] = {}
+        self._notices: dict[str, tuple[Beacon, float]] = {}
 
     def receive(self, beacon: Beacon, now: float) -> None:
         """Record that an instance leaves."""
-        self._words[beacon.address] = (beacon, now)
+        self._notices[beacon.address] = (beacon, now)
 
     def forget(self, address: str) -> None:
         """Record that an instance serves, as one that started again does."""
-        self._words.pop(address, None)
+        self._notices.pop(address, None)
 
     def is_leaving(self, address: str, now: float) -> bool:
         """Tell whether an instance has lately said that it leaves."""
-        if address not in self._words:
+        if address not in self._notices:
             return False
-        return now - self._words[address][1] <= self.silence_s
+        return now - self._notices[address][1] <= self.silence_s
 
-    def of_zone(self, zone: ZoneId) -> list[str]:
+    def in_zone(self, zone: ZoneId) -> list[str]:
         """Return the addresses of those of a zone."""
         return [
             address
-            for address, (beacon, _) in self._words.items()
+            for address, (beacon, _) in self._notices.items()
             if beacon.zone == zone
         ]
 
     def expire(self, now: float) -> None:
         """Drop who has ended."""
-        for address in list(self._words):
+        for address in list(self._notices):
             if not self.is_leaving(address, now):
-                del self._words[address]
+                del self._notices[address]
--- a/packages/buckthornwall/src/buckthornwall/peers/packing.py
+++ b/packages/buckthornwall/src/buckthornwall/peers/packing.py
@@ -53,15 +53,15 @@
     packed = [
         struct.pack("<HB", len(names), len(ranks)),
         bytes(ranks),
-        _words(work.requests for work in works),
+        _notices(work.requests for work in works),
         _bytes(work.pause_sensitive for work in works),
-        _words(_units(work.memory, MEMORY_UNIT_TOKENS) for work in works),
+        _notices(_units(work.memory, MEMORY_UNIT_TOKENS) for work in works),
     ]
     for rank in ranks:
         pending_prefill = (work.pending_prefill.get(rank, 0) for work in works)
         oldest = (work.oldest_ms.get(rank, 0) for work in works)
         packed.append(
-            _words(
+            _notices(
                 _units(each, PENDING_PREFILL_UNIT_TOKENS) for each in pending_prefill
             )
         )
@@ -188,7 +188,7 @@
     return -(-value // unit)
 
 
-def _words(values: Iterable[int]) -> bytes:
+def _notices(values: Iterable[int]) -> bytes:
     limited = [min(MOST_WORD, value) for value in values]
     return struct.pack(f"<{len(limited)}H", *limited)
 
--- a/packages/buckthornwall/src/buckthornwall/peers/table.py
+++ b/packages/buckthornwall/src/buckthornwall/peers/table.py
@@ -19,8 +19,8 @@
 from buckthornwall.utils import UpstreamId, ZoneId
 
 from .counts import CountsWriter, read_counts
+from .departures import DepartingPeers
 from .election import election_priority, sender_priority
-from .leavers import Leavers
 from .messages import Beacon, Digest, Heartbeat, PeerState, Work
 from .newest import take_newer, take_read_age
 from .parts import PartsTold
@@ -67,7 +67,7 @@
         self.zones: dict[ZoneId, Received] = {}
         self.speaker: Received | None = None
         self.reported_work: dict[UpstreamId, Work] = {}
-        self.leavers = Leavers(silence_s)
+        self.departures = DepartingPeers(silence_s)
         self.parts = PartsTold()
         self._counts = CountsWriter()
 
@@ -78,9 +78,9 @@
         if beacon.address == self.address:
             return False
         if beacon.state is PeerState.LEAVING:
-            self._receive_leave(beacon, now)
+            self._receive_departure(beacon, now)
             return False
-        self.leavers.forget(beacon.address)
+        self.departures.forget(beacon.address)
         if beacon.zone != self.zone:
             return False
         self.parts.of_zone.receive(beacon.cached_prefixes, now)
@@ -88,14 +88,14 @@
         self.members[beacon.address] = Received(beacon, now, now)
         return is_new
 
-    def _receive_leave(self, beacon: Beacon, now: float) -> None:
+    def _receive_departure(self, beacon: Beacon, now: float) -> None:
         """Record that an instance leaves; it says so until it has ended.
 
         Only the first word ends its time as a speaker. Where each word begins the wait
         for the next speaker anew, members hear no news until it has ended.
         """
         address = beacon.address
-        self.leavers.receive(beacon, now)
+        self.departures.receive(beacon, now)
         self.members.pop(address, None)
         for speaker in (self.speaker, self.zones.get(beacon.zone)):
             if speaker is not None and speaker.message.address == address:
@@ -111,7 +111,7 @@
         is_stale = now - at > self.silence_s
         if digest.address == self.address or is_stale:
             return
-        if self.leavers.is_leaving(digest.address, now):
+        if self.departures.is_leaving(digest.address, now):
             return
         if digest.zone != self.zone:
             if not digest.is_fleet and self._replaces(
@@ -141,7 +141,7 @@
         heard = self.speaker if is_own_zone else self.zones.get(heartbeat.zone)
         if heard is None or heard.message.address != heartbeat.address:
             return None
-        if self.leavers.is_leaving(heartbeat.address, now):
+        if self.departures.is_leaving(heartbeat.address, now):
             return None
         heard.at = heard.told_at = now
         heard.message.read_age_ms = heartbeat.read_age_ms
@@ -180,7 +180,7 @@
         for zone, heard in list(self.zones.items()):
             if now - heard.at > self.silence_s:
                 del self.zones[zone]
-        self.leavers.expire(now)
+        self.departures.expire(now)
         return gone
 
     # Speaking
@@ -231,7 +231,7 @@
         is to have the newest version.
         """
         addresses = dict.fromkeys(self.members)
-        addresses |= dict.fromkeys(self.leavers.of_zone(self.zone))
+        addresses |= dict.fromkeys(self.departures.in_zone(self.zone))
         speaker = self.speaker
         if speaker is not None and now - speaker.told_at <= ROSTER_S:
             addresses |= dict.fromkeys(speaker.message.members)
