--- a/packages/buckthornwall/src/buckthornwall/peers/agent.py
+++ b/packages/buckthornwall/src/buckthornwall/peers/agent.py
@@ -200,7 +200,7 @@
         await self._send_due_report(self.speaker_recipients, own, others, now)
         members = self.table.member_addresses(now)
         await self._send_due_report(self.member_recipients, own, members, now)
-        self.table.parts.set_interval(
+        self.table.prefixes.set_interval(
             self.member_recipients.pacing.max_counts_age_s(now)
         )
 
--- a/packages/buckthornwall/src/buckthornwall/peers/table.py
+++ b/packages/buckthornwall/src/buckthornwall/peers/table.py
@@ -23,7 +23,7 @@
 from .election import election_priority, sender_priority
 from .messages import Beacon, Digest, Heartbeat, PeerState, Work
 from .newest import take_newer, take_read_age
-from .parts import PartsTold
+from .prefix_relay import PrefixRelay
 from .received import Received
 from .sums import newest_limits, sum_loads, sum_unreachable
 from .work import NOTHING, subtract_local
@@ -68,7 +68,7 @@
         self.speaker: Received | None = None
         self.reported_work: dict[UpstreamId, Work] = {}
         self.departures = DepartingPeers(silence_s)
-        self.parts = PartsTold()
+        self.prefixes = PrefixRelay()
         self._counts = CountsWriter()
 
     # Hearing
@@ -83,7 +83,7 @@
         self.departures.forget(beacon.address)
         if beacon.zone != self.zone:
             return False
-        self.parts.of_zone.receive(beacon.cached_prefixes, now)
+        self.prefixes.local_zone.receive(beacon.cached_prefixes, now)
         is_new = beacon.address not in self.members
         self.members[beacon.address] = Received(beacon, now, now)
         return is_new
@@ -118,7 +118,7 @@
                 digest, self.zones.get(digest.zone), now
             ):
                 self.zones[digest.zone] = Received.digest(digest, at)
-                self.parts.of_others.receive(digest.cached_prefixes, now)
+                self.prefixes.remote_zones.receive(digest.cached_prefixes, now)
         elif not digest.is_pointer and self._replaces(digest, self.speaker, now):
             self.speaker = Received.digest(digest, at)
 
@@ -154,7 +154,7 @@
         heard.message.loads, cached_prefixes = counts
         heard.message.unreachable = heartbeat.unreachable
         if not is_own_zone:
-            self.parts.of_others.receive(cached_prefixes, now)
+            self.prefixes.remote_zones.receive(cached_prefixes, now)
         return cached_prefixes
 
     def _replaces(self, digest: Digest, current: Received | None, now: float) -> bool:
@@ -274,7 +274,7 @@
             read_age_ms=newest.read_age_ms,
             store_uptime_ms=newest.store_uptime_ms,
             loads=sum_loads(parts, far),
-            cached_prefixes=self.parts.told(own, is_fleet, now),
+            cached_prefixes=self.prefixes.current(own, is_fleet, now),
             unreachable=sum_unreachable(parts, far),
             crash_checksum=own.crash_checksum,
             limits=newest.limits,
@@ -296,7 +296,7 @@
         """
         parts, far = self._parts(own), self._far(heartbeat.is_fleet)
         loads = sum_loads(parts, far)
-        cached_prefixes = self.parts.told(own, heartbeat.is_fleet, now)
+        cached_prefixes = self.prefixes.current(own, heartbeat.is_fleet, now)
         self._counts.fill(heartbeat, loads, cached_prefixes)
         heartbeat.unreachable = sum_unreachable(parts, far)
 
--- a/packages/buckthornwall/src/buckthornwall/peers/tests/test_peers.py
+++ b/packages/buckthornwall/src/buckthornwall/peers/tests/test_peers.py
@@ -266,7 +266,7 @@
 def test_parts_outlast_the_time_between_two_digests(interval_s):
     """Digests of a large fleet are up to some seconds apart, to bound their bytes."""
     first = table(FIRST)
-    first.parts.set_interval(interval_s)
+    first.prefixes.set_interval(interval_s)
     own = beacon(SECOND)
     own.cached_prefixes = {ENGINE: [("s", 4000)]}
     first.receive_beacon(own, 0.0)
