--- a/packages/buckthornwall/src/buckthornwall/peers/sums.py
+++ b/packages/buckthornwall/src/buckthornwall/peers/aggregation.py
@@ -11,35 +11,39 @@
 from buckthornwall.utils import UpstreamId
 
 from .messages import Beacon, Work
-from .received import Received
+from .received_message import ReceivedMessage
 from .work import add_work
 
-__all__ = ["newest_limits", "sum_loads", "sum_unreachable"]
+__all__ = ["merge_limits", "sum_loads", "sum_unreachable"]
 
 
 def sum_loads(
-    parts: Iterable[Beacon], far: Iterable[Received]
+    beacons: Iterable[Beacon], remote: Iterable[ReceivedMessage]
 ) -> dict[UpstreamId, Work]:
     """Return the work of instances, and of zones whose speakers told theirs."""
     loads: dict[UpstreamId, Work] = {}
-    for part in parts:
-        add_work(loads, part.loads)
-    for zone in far:
+    for beacon in beacons:
+        add_work(loads, beacon.loads)
+    for zone in remote:
         add_work(loads, zone.message.loads)
     return loads
 
 
-def sum_unreachable(parts: Iterable[Beacon], far: Iterable[Received]) -> Unreachable:
+def sum_unreachable(
+    beacons: Iterable[Beacon], remote: Iterable[ReceivedMessage]
+) -> Unreachable:
     """Return how many instances cannot reach an upstream."""
     total: Unreachable = {}
-    for part in parts:
-        add_unreachable(total, dict.fromkeys(part.unreachable, 1))
-    for zone in far:
+    for beacon in beacons:
+        add_unreachable(total, dict.fromkeys(beacon.unreachable, 1))
+    for zone in remote:
         add_unreachable(total, zone.message.unreachable)
     return total
 
 
-def newest_limits(own: Beacon, heard: Iterable[Received], now: float) -> LimitReports:
+def merge_limits(
+    own: Beacon, heard: Iterable[ReceivedMessage], now: float
+) -> LimitReports:
     """Return the newest report on each upstream that names a limit."""
-    parts = [(each.message.limits, now - each.told_at) for each in heard]
-    return merge_limit_reports([(own.limits, 0.0), *parts])
+    reports = [(each.message.limits, now - each.sent_at) for each in heard]
+    return merge_limit_reports([(own.limits, 0.0), *reports])
--- a/packages/buckthornwall/src/buckthornwall/peers/newest.py
+++ b/packages/buckthornwall/src/buckthornwall/peers/freshness.py
@@ -1,14 +1,14 @@
 """What is newest of two words, and how long ago the store was read."""
 
 from .messages import Digest, Heartbeat
-from .received import Received
+from .received_message import ReceivedMessage
 
-__all__ = ["take_newer", "take_read_age"]
+__all__ = ["merge_newer_revision", "merge_read_age"]
 
 MS_PER_S = 1000.0
 
 
-def take_newer(known: Digest | Heartbeat, told: Digest | Heartbeat) -> None:
+def merge_newer_revision(known: Digest | Heartbeat, told: Digest | Heartbeat) -> None:
     """Put what is newest, and who has it, into what is known."""
     if (told.number, told.change_revision) > (known.number, known.change_revision):
         known.number = told.number
@@ -16,7 +16,7 @@
         known.freshest_peer = told.freshest_peer
 
 
-def take_read_age(heartbeat: Heartbeat, heard: Received, now: float) -> None:
+def merge_read_age(heartbeat: Heartbeat, received: ReceivedMessage, now: float) -> None:
     """Let a reading of the store count that another instance told of."""
-    told_ms = heard.message.read_age_ms + int((now - heard.told_at) * MS_PER_S)
+    told_ms = received.message.read_age_ms + int((now - received.sent_at) * MS_PER_S)
     heartbeat.read_age_ms = min(heartbeat.read_age_ms, told_ms)
--- a/packages/buckthornwall/src/buckthornwall/peers/packing.py
+++ b/packages/buckthornwall/src/buckthornwall/peers/packing.py
@@ -28,8 +28,8 @@
 MEMORY_UNIT_TOKENS = 256
 WAIT_UNIT_MS = 20
 PART_UNIT_TOKENS = 32
-MOST_BYTE = 0xFF
-MOST_WORD = 0xFFFF
+MAX_UINT8 = 0xFF
+MAX_UINT16 = 0xFFFF
 # Ids of so many hexadecimal digits take four bytes.
 HEX_ID_DIGITS = 8
 HEX_DIGITS = frozenset("0123456789abcdef")
@@ -49,23 +49,23 @@
     ranks = sorted(
         {rank for work in works for rank in (*work.pending_prefill, *work.oldest_ms)}
     )
-    ranks = [rank for rank in ranks if 0 <= rank <= MOST_BYTE]
+    ranks = [rank for rank in ranks if 0 <= rank <= MAX_UINT8]
     packed = [
         struct.pack("<HB", len(names), len(ranks)),
         bytes(ranks),
-        _notices(work.requests for work in works),
-        _bytes(work.pause_sensitive for work in works),
-        _notices(_units(work.memory, MEMORY_UNIT_TOKENS) for work in works),
+        _uint16s(work.requests for work in works),
+        _uint8s(work.pause_sensitive for work in works),
+        _uint16s(_units(work.memory, MEMORY_UNIT_TOKENS) for work in works),
     ]
     for rank in ranks:
         pending_prefill = (work.pending_prefill.get(rank, 0) for work in works)
         oldest = (work.oldest_ms.get(rank, 0) for work in works)
         packed.append(
-            _notices(
+            _uint16s(
                 _units(each, PENDING_PREFILL_UNIT_TOKENS) for each in pending_prefill
             )
         )
-        packed.append(_bytes(_units(each, WAIT_UNIT_MS) for each in oldest))
+        packed.append(_uint8s(_units(each, WAIT_UNIT_MS) for each in oldest))
     return b"".join(packed)
 
 
@@ -122,7 +122,7 @@
     for upstream, parts in cached_prefixes.items():
         for part, tokens in parts:
             if upstream in places and _is_short_hex(part):
-                units = min(MOST_WORD, _units(tokens, PART_UNIT_TOKENS))
+                units = min(MAX_UINT16, _units(tokens, PART_UNIT_TOKENS))
                 rows.append((places[upstream], int(part, 16), units))
             else:
                 others.setdefault(upstream, []).append((part, tokens))
@@ -188,13 +188,13 @@
     return -(-value // unit)
 
 
-def _notices(values: Iterable[int]) -> bytes:
-    limited = [min(MOST_WORD, value) for value in values]
+def _uint16s(values: Iterable[int]) -> bytes:
+    limited = [min(MAX_UINT16, value) for value in values]
     return struct.pack(f"<{len(limited)}H", *limited)
 
 
-def _bytes(values: Iterable[int]) -> bytes:
-    return bytes(min(MOST_BYTE, value) for value in values)
+def _uint8s(values: Iterable[int]) -> bytes:
+    return bytes(min(MAX_UINT8, value) for value in values)
 
 
 def _is_short_hex(part: str) -> bool:
--- a/packages/buckthornwall/src/buckthornwall/peers/received.py
+++ b/packages/buckthornwall/src/buckthornwall/peers/received_message.py
@@ -6,23 +6,23 @@
 
 from .messages import Beacon, Digest
 
-__all__ = ["Received"]
+__all__ = ["ReceivedMessage"]
 
 
 @dataclass(slots=True)
-class Received:
+class ReceivedMessage:
     """What was last heard of an instance.
 
-    Silence counts from `at`; the message itself is of `told_at`. `names` are the
+    Silence counts from `last_seen_at`; the message itself is of `sent_at`. `names` are the
     upstreams of a digest in its order, by which heartbeats tell counts.
     """
 
     message: Beacon | Digest
-    at: float
-    told_at: float
+    last_seen_at: float
+    sent_at: float
     names: list[UpstreamId] = field(default_factory=list)
 
     @classmethod
-    def digest(cls, digest: Digest, at: float) -> "Received":
-        """Return a digest that was told at a time."""
-        return cls(digest, at, at, list(digest.loads))
+    def from_digest(cls, digest: Digest, sent_at: float) -> "ReceivedMessage":
+        """Return a digest that was told at `sent_at`."""
+        return cls(digest, sent_at, sent_at, list(digest.loads))
--- a/packages/buckthornwall/src/buckthornwall/peers/table.py
+++ b/packages/buckthornwall/src/buckthornwall/peers/table.py
@@ -18,22 +18,22 @@
 from buckthornwall.pools.load import PeerLoad
 from buckthornwall.utils import UpstreamId, ZoneId
 
+from .aggregation import merge_limits, sum_loads, sum_unreachable
 from .counts import CountsWriter, read_counts
 from .departures import DepartingPeers
 from .election import election_priority, sender_priority
+from .freshness import merge_newer_revision, merge_read_age
 from .messages import Beacon, Digest, Heartbeat, PeerState, Work
-from .newest import take_newer, take_read_age
 from .prefix_relay import PrefixRelay
-from .received import Received
-from .sums import newest_limits, sum_loads, sum_unreachable
+from .received_message import ReceivedMessage
 from .work import NOTHING, subtract_local
 
 __all__ = ["PeerTable"]
 
 MS_PER_S = 1000.0
 # Who follows a speaker tells the members that the old one named for so many seconds:
-# until they have heard it, also where datagrams are lost, and told it of themselves.
-ROSTER_S = 3.0
+# until they have received it, also where datagrams are lost, and told it of themselves.
+INHERITED_MEMBERS_S = 3.0
 
 
 class PeerTable:
@@ -63,9 +63,9 @@
         self.zone = zone
         self.silence_s = silence_s
         self.stagger_s = stagger_s
-        self.members: dict[str, Received] = {}
-        self.zones: dict[ZoneId, Received] = {}
-        self.speaker: Received | None = None
+        self.members: dict[str, ReceivedMessage] = {}
+        self.zones: dict[ZoneId, ReceivedMessage] = {}
+        self.speaker: ReceivedMessage | None = None
         self.reported_work: dict[UpstreamId, Work] = {}
         self.departures = DepartingPeers(silence_s)
         self.prefixes = PrefixRelay()
@@ -85,7 +85,7 @@
             return False
         self.prefixes.local_zone.receive(beacon.cached_prefixes, now)
         is_new = beacon.address not in self.members
-        self.members[beacon.address] = Received(beacon, now, now)
+        self.members[beacon.address] = ReceivedMessage(beacon, now, now)
         return is_new
 
     def _receive_departure(self, beacon: Beacon, now: float) -> None:
@@ -99,7 +99,7 @@
         self.members.pop(address, None)
         for speaker in (self.speaker, self.zones.get(beacon.zone)):
             if speaker is not None and speaker.message.address == address:
-                speaker.at = min(speaker.at, now - self.silence_s)
+                speaker.last_seen_at = min(speaker.last_seen_at, now - self.silence_s)
 
     def receive_digest(self, digest: Digest, now: float) -> None:
         """Take a digest of this zone's speaker, or of another zone's.
@@ -114,13 +114,13 @@
         if self.departures.is_leaving(digest.address, now):
             return
         if digest.zone != self.zone:
-            if not digest.is_fleet and self._replaces(
+            if not digest.is_fleet and self._supersedes(
                 digest, self.zones.get(digest.zone), now
             ):
-                self.zones[digest.zone] = Received.digest(digest, at)
+                self.zones[digest.zone] = ReceivedMessage.from_digest(digest, at)
                 self.prefixes.remote_zones.receive(digest.cached_prefixes, now)
-        elif not digest.is_pointer and self._replaces(digest, self.speaker, now):
-            self.speaker = Received.digest(digest, at)
+        elif not digest.is_pointer and self._supersedes(digest, self.speaker, now):
+            self.speaker = ReceivedMessage.from_digest(digest, at)
 
     def receive_heartbeat(
         self, heartbeat: Heartbeat, now: float
@@ -130,7 +130,7 @@
         Returns
         -------
         dict or None
-            The parts that it tells of, if it tells of work at upstreams.
+            The prefixes that it tells of, if it tells of work at upstreams.
 
         Raises
         ------
@@ -138,31 +138,33 @@
             PEER_MESSAGE if its counts are none.
         """
         is_own_zone = heartbeat.zone == self.zone
-        heard = self.speaker if is_own_zone else self.zones.get(heartbeat.zone)
-        if heard is None or heard.message.address != heartbeat.address:
+        received = self.speaker if is_own_zone else self.zones.get(heartbeat.zone)
+        if received is None or received.message.address != heartbeat.address:
             return None
         if self.departures.is_leaving(heartbeat.address, now):
             return None
-        heard.at = heard.told_at = now
-        heard.message.read_age_ms = heartbeat.read_age_ms
-        heard.message.store_uptime_ms = heartbeat.store_uptime_ms
-        heard.message.limits = heartbeat.limits
-        take_newer(heard.message, heartbeat)
-        counts = read_counts(heartbeat, heard.message, heard.names)
+        received.last_seen_at = received.sent_at = now
+        received.message.read_age_ms = heartbeat.read_age_ms
+        received.message.store_uptime_ms = heartbeat.store_uptime_ms
+        received.message.limits = heartbeat.limits
+        merge_newer_revision(received.message, heartbeat)
+        counts = read_counts(heartbeat, received.message, received.names)
         if counts is None:
             return None
-        heard.message.loads, cached_prefixes = counts
-        heard.message.unreachable = heartbeat.unreachable
+        received.message.loads, cached_prefixes = counts
+        received.message.unreachable = heartbeat.unreachable
         if not is_own_zone:
             self.prefixes.remote_zones.receive(cached_prefixes, now)
         return cached_prefixes
 
-    def _replaces(self, digest: Digest, current: Received | None, now: float) -> bool:
+    def _supersedes(
+        self, digest: Digest, current: ReceivedMessage | None, now: float
+    ) -> bool:
         """Tell whether a digest counts in place of the last one of its zone.
 
         One without instances only points to a speaker.
         """
-        if current is None or now - current.at > self.silence_s:
+        if current is None or now - current.last_seen_at > self.silence_s:
             return True
         if not digest.count:
             return False
@@ -172,13 +174,13 @@
         """Drop who has been silent; return the members among them."""
         gone = [
             address
-            for address, heard in self.members.items()
-            if now - heard.at > self.silence_s
+            for address, received in self.members.items()
+            if now - received.last_seen_at > self.silence_s
         ]
         for address in gone:
             del self.members[address]
-        for zone, heard in list(self.zones.items()):
-            if now - heard.at > self.silence_s:
+        for zone, received in list(self.zones.items()):
+            if now - received.last_seen_at > self.silence_s:
                 del self.zones[zone]
         self.departures.expire(now)
         return gone
@@ -190,9 +192,9 @@
         speaker = self.speaker
         if speaker is None:
             return True
-        silent_s = now - speaker.at
+        silent_s = now - speaker.last_seen_at
         if silent_s > self.silence_s and (
-            silent_s > self.silence_s + self._stagger(speaker.message)
+            silent_s > self.silence_s + self._takeover_delay_s(speaker.message)
         ):
             return True
         return election_priority(self.address, self.weight) > sender_priority(
@@ -209,7 +211,7 @@
             )
         return sender_priority(self.speaker.message) > sender_priority(digest)
 
-    def _stagger(self, digest: Digest) -> float:
+    def _takeover_delay_s(self, digest: Digest) -> float:
         """Return how long those of a higher order have to speak up first."""
         own = election_priority(self.address, self.weight)
         higher = sum(
@@ -233,7 +235,7 @@
         addresses = dict.fromkeys(self.members)
         addresses |= dict.fromkeys(self.departures.in_zone(self.zone))
         speaker = self.speaker
-        if speaker is not None and now - speaker.told_at <= ROSTER_S:
+        if speaker is not None and now - speaker.sent_at <= INHERITED_MEMBERS_S:
             addresses |= dict.fromkeys(speaker.message.members)
         addresses.pop(self.address, None)
         return list(addresses)
@@ -241,7 +243,9 @@
     def other_speakers(self) -> dict[ZoneId, str]:
         """Return the speakers of other zones, as far as they are known."""
         known = dict(self.speaker.message.speakers) if self.speaker else {}
-        known |= {zone: heard.message.address for zone, heard in self.zones.items()}
+        known |= {
+            zone: received.message.address for zone, received in self.zones.items()
+        }
         known.pop(self.zone, None)
         return known
 
@@ -257,25 +261,25 @@
         now
             The time in seconds.
         """
-        parts, far = self._parts(own), self._far(is_fleet)
-        count = sum(1 for part in parts if part.state is not PeerState.JOINING)
+        beacons, remote = self._zone_beacons(own), self._remote_zones(is_fleet)
+        count = sum(1 for beacon in beacons if beacon.state is not PeerState.JOINING)
         newest = self.make_heartbeat(own, is_fleet, now)
         return Digest(
             address=self.address,
             weight=self.weight,
             zone=self.zone,
             is_fleet=is_fleet,
-            count=count + sum(zone.message.count for zone in far),
-            members={part.address: part.weight for part in parts},
+            count=count + sum(zone.message.count for zone in remote),
+            members={beacon.address: beacon.weight for beacon in beacons},
             speakers={self.zone: self.address} | self.other_speakers(),
             number=newest.number,
             change_revision=newest.change_revision,
             freshest_peer=newest.freshest_peer,
             read_age_ms=newest.read_age_ms,
             store_uptime_ms=newest.store_uptime_ms,
-            loads=sum_loads(parts, far),
+            loads=sum_loads(beacons, remote),
             cached_prefixes=self.prefixes.current(own, is_fleet, now),
-            unreachable=sum_unreachable(parts, far),
+            unreachable=sum_unreachable(beacons, remote),
             crash_checksum=own.crash_checksum,
             limits=newest.limits,
         )
@@ -285,7 +289,7 @@
         self._counts.number(digest)
 
     def add_counts(self, heartbeat: Heartbeat, own: Beacon, now: float) -> None:
-        """Let a heartbeat tell the work at upstreams, and the parts sent there.
+        """Let a heartbeat tell the work at upstreams, and the prefixes sent there.
 
         Parameters
         ----------
@@ -294,28 +298,31 @@
         own, now
             As for a digest.
         """
-        parts, far = self._parts(own), self._far(heartbeat.is_fleet)
-        loads = sum_loads(parts, far)
+        beacons, remote = (
+            self._zone_beacons(own),
+            self._remote_zones(heartbeat.is_fleet),
+        )
+        loads = sum_loads(beacons, remote)
         cached_prefixes = self.prefixes.current(own, heartbeat.is_fleet, now)
         self._counts.fill(heartbeat, loads, cached_prefixes)
-        heartbeat.unreachable = sum_unreachable(parts, far)
+        heartbeat.unreachable = sum_unreachable(beacons, remote)
 
-    def _parts(self, own: Beacon) -> list[Beacon]:
+    def _zone_beacons(self, own: Beacon) -> list[Beacon]:
         """Return what the instances of the zone say of themselves."""
-        return [own, *(heard.message for heard in self.members.values())]
+        return [own, *(received.message for received in self.members.values())]
 
-    def _far(self, is_fleet: bool) -> list[Received]:
+    def _remote_zones(self, is_fleet: bool) -> list[ReceivedMessage]:
         """Return what other zones' speakers told, if the fleet is asked for."""
         return list(self.zones.values()) if is_fleet else []
 
     def make_heartbeat(self, own: Beacon, is_fleet: bool, now: float) -> Heartbeat:
         """Return what this instance tells between two digests.
 
-        Parameters are those of a digest. What was heard grows older meanwhile.
+        Parameters are those of a digest. What was received grows older meanwhile.
         """
-        parts, far = self._parts(own), self._far(is_fleet)
-        heard_of = [*self.members.values(), *far]
-        best = max(parts, key=lambda part: (part.number, part.change_revision))
+        beacons, remote = self._zone_beacons(own), self._remote_zones(is_fleet)
+        messages = [*self.members.values(), *remote]
+        best = max(beacons, key=lambda beacon: (beacon.number, beacon.change_revision))
         heartbeat = Heartbeat(
             address=self.address,
             weight=self.weight,
@@ -325,17 +332,17 @@
             change_revision=best.change_revision,
             freshest_peer=best.address,
             read_age_ms=own.read_age_ms,
-            store_uptime_ms=max(part.store_uptime_ms for part in parts),
+            store_uptime_ms=max(beacon.store_uptime_ms for beacon in beacons),
             crash_checksum=own.crash_checksum,
-            limits=newest_limits(own, heard_of, now),
+            limits=merge_limits(own, messages, now),
         )
-        for heard in heard_of:
-            take_read_age(heartbeat, heard, now)
-        for heard in far:
+        for received in messages:
+            merge_read_age(heartbeat, received, now)
+        for received in remote:
             heartbeat.store_uptime_ms = max(
-                heartbeat.store_uptime_ms, heard.message.store_uptime_ms
+                heartbeat.store_uptime_ms, received.message.store_uptime_ms
             )
-            take_newer(heartbeat, heard.message)
+            merge_newer_revision(heartbeat, received.message)
         return heartbeat
 
     # What follows for this instance
@@ -356,20 +363,26 @@
         return msgspec.structs.replace(digest, age_ms=self._age_ms(now), sequence=0)
 
     def _age_ms(self, now: float) -> int:
-        """Return how long ago the speaker that this instance goes by was heard."""
-        return 0 if self.is_speaker(now) else int((now - self.speaker.at) * MS_PER_S)
+        """Return how long ago the speaker that this instance goes by was received."""
+        return (
+            0
+            if self.is_speaker(now)
+            else int((now - self.speaker.last_seen_at) * MS_PER_S)
+        )
 
     def staleness_s(self, now: float) -> float:
         """Return how old the last digest is that this instance goes by, in seconds.
 
         0 where it speaks itself, and so goes by its own reading.
         """
-        return 0.0 if self.is_speaker(now) else now - self.speaker.told_at
+        return 0.0 if self.is_speaker(now) else now - self.speaker.sent_at
 
     def peer_work(self, own: Beacon, now: float) -> dict[UpstreamId, PeerLoad]:
         """Return the work of all other instances by upstream."""
         if self.is_speaker(now):
-            loads = sum_loads(self._parts(own), self._far(is_fleet=True))
+            loads = sum_loads(
+                self._zone_beacons(own), self._remote_zones(is_fleet=True)
+            )
             counted = own.loads
         else:
             loads, counted = self.speaker.message.loads, self.reported_work
@@ -381,8 +394,8 @@
     def limits(self, own: Beacon, now: float) -> LimitReports:
         """Return the newest word on what upstreams take in a second."""
         if self.is_speaker(now):
-            heard = [*self.members.values(), *self._far(is_fleet=True)]
-            return newest_limits(own, heard, now)
+            received = [*self.members.values(), *self._remote_zones(is_fleet=True)]
+            return merge_limits(own, received, now)
         return merge_limit_reports(
             [(self.speaker.message.limits, self.staleness_s(now))]
         )
@@ -390,5 +403,7 @@
     def unreachable(self, own: Beacon, now: float) -> Unreachable:
         """Return how many instances could lately not reach which upstream."""
         if self.is_speaker(now):
-            return sum_unreachable(self._parts(own), self._far(is_fleet=True))
+            return sum_unreachable(
+                self._zone_beacons(own), self._remote_zones(is_fleet=True)
+            )
         return self.speaker.message.unreachable
