--- a/packages/buckthornwall/src/buckthornwall/peers/agent.py
+++ b/packages/buckthornwall/src/buckthornwall/peers/agent.py
@@ -47,7 +47,7 @@
     )
     seeds = ConfigItem(
         [],
-        "Instances to request_speaker first, as IP:port; only the IP number is used.",
+        "Instances to contact first, as IP:port; only the IP address is used.",
     )
     weight = ConfigItem(
         1.0,
--- a/packages/buckthornwall/src/buckthornwall/peers/messages.py
+++ b/packages/buckthornwall/src/buckthornwall/peers/messages.py
@@ -75,10 +75,10 @@
     `read_age_ms` how long ago the store last answered here, `store_uptime_ms` for how
     long it has done so without an outage. `loads` names upstreams with work from
     this instance, `cached_prefixes` the shared parts of prompts that it has lately sent
-    to each, `unreachable` upstreams that it could lately not reach. `requests_speaker` asks for
-    an answer: the sender does not know its zone's speaker. `crash_checksum` is that
-    of what it knows of requests that crash upstreams. `limits` tells how many requests
-    a second upstreams take, as they told the sender.
+    to each, `unreachable` upstreams that it could lately not reach. `requests_speaker`
+    asks for an answer: the sender does not know its zone's speaker. `crash_checksum`
+    is that of what it knows of requests that crash upstreams. `limits` holds the rate
+    limits that upstreams reported to the sender, in requests a second.
     """
 
     node: NodeId
--- a/packages/buckthornwall/src/buckthornwall/peers/speaker_lookup.py
+++ b/packages/buckthornwall/src/buckthornwall/peers/speaker_lookup.py
@@ -23,8 +23,8 @@
     Parameters
     ----------
     seeds
-        Returns the instances to request_speaker first, as IP:port, which may change; only the IP
-        number is used.
+        Returns the instances to contact first, as IP:port. The list may change; only
+        the IP address is used.
     table
         What is known of the others.
     make_beacon
@@ -76,9 +76,9 @@
             await self.send(encode(own), address)
 
     async def redirect(self, address: str, now: float) -> None:
-        """Tell an instance that goes by another one who speaks for the zone.
+        """Send the zone's digest to an instance that follows another speaker.
 
-        Left to speaker_lookup, instances that start together would have several speakers
+        With lookups alone, instances that start together would have several speakers
         for seconds, each with a part of the members.
         """
         own = self.make_beacon()
--- a/packages/buckthornwall/src/buckthornwall/peers/table.py
+++ b/packages/buckthornwall/src/buckthornwall/peers/table.py
@@ -105,7 +105,7 @@
         """Take a digest of this zone's speaker, or of another zone's.
 
         Passed on by others it is as old as they say. One that only points to a speaker
-        of this zone is not its word; the agent requests_speaker whom it names.
+        of this zone is not its word; the agent queries the instance that it names.
         """
         at = now - digest.age_ms / MS_PER_S
         is_stale = now - at > self.silence_s
--- a/packages/buckthornwall/src/buckthornwall/peers/tests/test_speaker_lookup.py
+++ b/packages/buckthornwall/src/buckthornwall/peers/tests/test_speaker_lookup.py
@@ -1,4 +1,4 @@
-"""Tests of whom an instance requests_speaker that knows nobody."""
+"""Tests of the lookup of the zone's speaker."""
 
 import trio
 
