--- a/packages/buckthornwall/src/buckthornwall/engine_model/model.py
+++ b/packages/buckthornwall/src/buckthornwall/engine_model/model.py
@@ -40,7 +40,7 @@
     # What streams show
 
     def note_gap(
-        self, gap_s: float, tokens: int, was_idle: bool, is_apart: bool = False
+        self, gap_s: float, tokens: int, was_idle: bool, is_reserved: bool = False
     ) -> None:
         """Take the time between two events of a stream.
 
@@ -56,7 +56,7 @@
             Tokens that the later event holds.
         was_idle
             Whether nothing was known to wait there to be read when either came.
-        is_apart
+        is_reserved
             Whether the engine is kept free of long prompts: its steps say nothing of
             those beside them. Counted as such, they let a stream look safe beside
             long prompts as soon as it was kept apart from them.
@@ -66,7 +66,7 @@
         step_s = gap_s / tokens
         if was_idle:
             self._quiet.note(step_s)
-        if not is_apart and step_s > STRETCH * self.quiet_step_s:
+        if not is_reserved and step_s > STRETCH * self.quiet_step_s:
             self._reading.note(step_s)
             self._long.note(step_s)
 
--- a/packages/buckthornwall/src/buckthornwall/engine_model/tests/test_model.py
+++ b/packages/buckthornwall/src/buckthornwall/engine_model/tests/test_model.py
@@ -100,5 +100,5 @@
     Engine(draw, 0.004, 60_000).show(model)
     before = model.long_step_s
     for _ in range(500):
-        model.note_gap(4 * 0.015, 4, was_idle=False, is_apart=True)
+        model.note_gap(4 * 0.015, 4, was_idle=False, is_reserved=True)
     assert model.long_step_s == before
--- a/packages/buckthornwall/src/buckthornwall/forwarding/attempt.py
+++ b/packages/buckthornwall/src/buckthornwall/forwarding/attempt.py
@@ -256,12 +256,12 @@
         view: UpstreamView,
         model: EngineModel,
         tokens_per_event: int,
-        is_apart: bool,
+        is_reserved: bool,
     ) -> None:
         self.view = view
         self.model = model
         self.tokens_per_event = tokens_per_event
-        self.is_apart = is_apart
+        self.is_reserved = is_reserved
         self._last_at: float | None = None
         self._was_idle = False
 
@@ -271,7 +271,9 @@
         if self._last_at is not None and events == 1:
             gap_s = now - self._last_at
             was_idle = is_idle and self._was_idle
-            self.model.note_gap(gap_s, self.tokens_per_event, was_idle, self.is_apart)
+            self.model.note_gap(
+                gap_s, self.tokens_per_event, was_idle, self.is_reserved
+            )
         self._last_at = now
         self._was_idle = is_idle
 
--- a/packages/buckthornwall/src/buckthornwall/pools/__init__.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/__init__.py
@@ -16,7 +16,7 @@
 `limit_queue` who gets the next token where all of a pool have a limit
 `view`        all of these for one upstream
 `table`       the views by upstream; adopts registrations
-`quiet`       engines kept free of long prompts, for streams that must not pause
+`reserved`    engines kept free of long prompts, for streams that must not pause
 `placement`   the choice of an upstream for a request
 `ledger`      what was let in and refused lately, by rank
 `overload`    limits of what is refused, and when it is to come back
@@ -38,10 +38,10 @@
 from .overload import retry_after_s
 from .placement import Choice, PlacementRequest, choose_engine, choose_service
 from .prefix_updates import CachedPrefixes, PrefixUpdates, merge_cached_prefixes
-from .quiet import is_pause_sensitive
 from .rate_limit import LimitReport, LimitReports, merge_limit_reports
 from .reachability import Unreachable, add_unreachable
 from .refusal import Overload, RefusalReason, find_overload, record_decision
+from .reserved import is_pause_sensitive
 from .table import PoolTable
 from .traits import RequestTraits
 from .view import UpstreamView
--- a/packages/buckthornwall/src/buckthornwall/pools/decision.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/decision.py
@@ -15,8 +15,8 @@
     choose_engine,
     choose_service,
 )
-from .quiet import Split
 from .refusal import has_deficit
+from .reserved import Split
 from .table import PoolTable
 from .traits import RequestTraits
 from .view import UpstreamView
@@ -53,7 +53,7 @@
     route = traits.resolution.route
     # A stream that may not pause stays away from engines in need, if it can.
     steady = [view for view in views if not view.rate_limit.is_limited(now)] or views
-    split = pools.quiet(pool.id).split(
+    split = pools.reserved_engines(pool.id).split(
         steady, now, route if traits.pause_sensitive else None
     )
     wanted = _wanted(pools, traits, split, zone)
@@ -79,9 +79,9 @@
         target_s=target_s,
         spread_key=traits.id,
         model=pools.model(pool.id),
-        kept=frozenset() if traits.pause_sensitive else split.kept_ids,
+        reserved=frozenset() if traits.pause_sensitive else split.reserved_ids,
         tokens_per_event=pool.engine.tokens_per_event,
-        most_pause_s=pools.quiet(pool.id).most_pause_s,
+        max_pause_s=pools.reserved_engines(pool.id).max_pause_s,
     )
 
 
--- a/packages/buckthornwall/src/buckthornwall/pools/placement.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/placement.py
@@ -8,7 +8,7 @@
 from buckthornwall.routing import PromptShape
 from buckthornwall.utils import UpstreamId, ZoneId, rendezvous_order
 
-from .quiet import SAFE_PAUSE_SHARE
+from .reserved import SAFE_PAUSE_SHARE
 from .view import UpstreamView
 
 __all__ = [
@@ -52,8 +52,8 @@
 COLD_SHARE = 0.08
 # A prompt that would stretch the pauses of pause-sensitive streams too far counts, for
 # each of them, as a wait of this part of its own target: little where few are there,
-# more than any wait where many are. Shut to all prompts that harm at all, engines kept
-# would stand half idle in small pools.
+# more than any wait where many are. Shut to all prompts that harm at all, reserved
+# engines would stand half idle in small pools.
 HARM_TARGET_SHARE = 0.3
 # Another zone, and warming up, at a plain service: as shares of its slots.
 SERVICE_ZONE_SHARE = 0.1
@@ -67,9 +67,9 @@
     `rank` is its place in the order of urgency, `zone` that of this instance, and
     `free_wait_s` a wait that leaves its target of `target_s` well in reach; times are
     in seconds. `spread_key` draws the engines that it is compared at besides its
-    homes. `model` tells how quickly the pool's engines read and generate, and `kept`
-    which of them hold streams whose events of `tokens_per_event` tokens may not wait
-    for `most_pause_s`.
+    homes. `model` tells how quickly the pool's engines read and generate, and
+    `reserved` which of them hold streams whose events of `tokens_per_event` tokens may
+    not wait for `max_pause_s`.
     """
 
     prompt: PromptShape
@@ -79,9 +79,9 @@
     target_s: float
     spread_key: str
     model: EngineModel
-    kept: frozenset[UpstreamId] = frozenset()
+    reserved: frozenset[UpstreamId] = frozenset()
     tokens_per_event: int = 1
-    most_pause_s: float = math.inf
+    max_pause_s: float = math.inf
 
 
 @dataclass(frozen=True, slots=True)
@@ -174,9 +174,9 @@
 
 
 def _homes(by_id: Iterable[UpstreamId], wanted: PlacementRequest) -> list[UpstreamId]:
-    """Return the engines in the order of homes of a prompt, those kept last."""
+    """Return the engines in the order of homes of a prompt, reserved ones last."""
     order = rendezvous_order(wanted.prompt.affinity_key, by_id)
-    return sorted(order, key=lambda name: name in wanted.kept)
+    return sorted(order, key=lambda name: name in wanted.reserved)
 
 
 def _copy_from(chosen: UpstreamView, holder: UpstreamView, prompt: PromptShape) -> str:
@@ -210,7 +210,7 @@
     cost = ahead_s + wanted.model.read_s(uncached + (weight - 1) * missing)
     if view.entry.zone != wanted.zone:
         cost += ZONE_S
-    if view.id in wanted.kept:
+    if view.id in wanted.reserved:
         cost += _harm(view, wanted, uncached)
     return _Offer(cost, view, uncached)
 
@@ -219,7 +219,7 @@
     """Return what a prompt does to pause-sensitive streams of an engine, in seconds."""
     pending_prefill = view.load.total_pending_prefill() + uncached
     pause_s = wanted.model.pause_s(wanted.tokens_per_event, pending_prefill)
-    if pause_s <= SAFE_PAUSE_SHARE * wanted.most_pause_s:
+    if pause_s <= SAFE_PAUSE_SHARE * wanted.max_pause_s:
         return 0.0
     streams = max(1, view.load.total_pause_sensitive())
     return HARM_TARGET_SHARE * wanted.target_s * streams
--- a/packages/buckthornwall/src/buckthornwall/pools/quiet.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/reserved.py
@@ -18,7 +18,7 @@
 
 from .view import UpstreamView
 
-__all__ = ["QuietEngines", "Split", "is_pause_sensitive"]
+__all__ = ["ReservedEngines", "Split", "is_pause_sensitive"]
 
 # A stream is pause-sensitive if an event of long steps takes more than this part of its
 # longest pause: one gap in ten is longer than those steps, and a stream has dozens of
@@ -28,9 +28,9 @@
 # bounded, and a burst fits.
 FILL_SHARE = 0.4
 # Demand below this part of a stream is the rest of a decay, not a stream.
-LEAST_DEMAND = 0.02
+MIN_DEMAND = 0.02
 # At most this part of a pool is kept for pause-sensitive streams.
-MOST_SHARE = 1 / 3
+MAX_SHARE = 1 / 3
 # Demand falls off with this time constant, so that the set does not flap.
 DECAY_S = 5.0
 
@@ -65,18 +65,18 @@
 class Split:
     """The engines kept for pause-sensitive streams, and the others of a pool.
 
-    `overflow` is the part of the pause-sensitive streams that the engines kept have no
-    room for.
+    `overflow` is the part of the pause-sensitive streams that the reserved engines have
+    no room for.
     """
 
-    kept: list[UpstreamView]
+    reserved: list[UpstreamView]
     others: list[UpstreamView]
     overflow: float = 0.0
 
     @property
-    def kept_ids(self) -> frozenset[UpstreamId]:
-        """Ids of the engines kept."""
-        return frozenset(view.id for view in self.kept)
+    def reserved_ids(self) -> frozenset[UpstreamId]:
+        """Ids of the reserved engines."""
+        return frozenset(view.id for view in self.reserved)
 
     def open_to(self, key: str, now: float) -> list[UpstreamView]:
         """Return the engines that a pause-sensitive stream may go to.
@@ -85,16 +85,18 @@
         were last told to have a free slot, they waited there for each other until
         their callers left, while the others had room.
         """
-        everywhere = [*self.kept, *self.others]
+        everywhere = [*self.reserved, *self.others]
         if hash_share(key) < self.overflow:
             return everywhere
         free = [
-            view for view in self.kept if view.load.in_flight(now) < view.entry.slots
+            view
+            for view in self.reserved
+            if view.load.in_flight(now) < view.entry.slots
         ]
         return free or everywhere
 
 
-class QuietEngines:
+class ReservedEngines:
     """Which engines of one pool are kept for pause-sensitive streams.
 
     Every instance comes to nearly the same set: it is taken from the head of a
@@ -114,7 +116,7 @@
         self.model = model
         self._demand = 0.0
         self._demand_at = 0.0
-        self._kept: set[UpstreamId] = set()
+        self._reserved: set[UpstreamId] = set()
         self._event_tokens = 0
         self._pauses: list[float] = []
         self._seen_pause_s = math.inf
@@ -127,12 +129,12 @@
         self._pauses = sorted(pauses)
 
     @property
-    def most_pause_s(self) -> float:
+    def max_pause_s(self) -> float:
         """The shortest of the longest pauses that pause-sensitive streams allow.
 
         By contract, not by what came here: one of many instances sees a stream that
         must not pause every few seconds, and until its first one would send long
-        prompts to the engines kept for them.
+        prompts to the reserved engines for them.
         """
         event_s = self._event_tokens * self.model.long_step_s
         shortest = next(iter(self._pauses), math.inf)
@@ -164,14 +166,14 @@
         self._update_demand(views, now, arriving is not None)
         by_id = {view.id: view for view in views}
         order = self._order_of(list(by_id))
-        most = int(len(order) * MOST_SHARE)
+        most = int(len(order) * MAX_SHARE)
         slots = max((view.entry.slots for view in views), default=1)
         filled = self._demand / (slots * FILL_SHARE)
-        size = min(most, math.ceil(filled)) if self._demand >= LEAST_DEMAND else 0
-        self._kept = set(order[:size])
+        size = min(most, math.ceil(filled)) if self._demand >= MIN_DEMAND else 0
+        self._reserved = set(order[:size])
         room = size * slots * FILL_SHARE
         return Split(
-            kept=[by_id[name] for name in order[:size]],
+            reserved=[by_id[name] for name in order[:size]],
             others=[by_id[name] for name in order[size:]],
             overflow=max(0.0, 1 - room / self._demand) if size else 0.0,
         )
@@ -190,7 +192,7 @@
         slowdown = self.model.reading_step_s / self.model.quiet_step_s
         running = arriving + sum(
             view.load.total_pause_sensitive()
-            / (1 if view.id in self._kept else slowdown)
+            / (1 if view.id in self._reserved else slowdown)
             for view in views
         )
         faded = self._demand * math.exp((self._demand_at - now) / DECAY_S)
--- a/packages/buckthornwall/src/buckthornwall/pools/table.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/table.py
@@ -20,9 +20,9 @@
 from .ledger import AdmissionLedger
 from .limit_queue import LimitQueue
 from .prefix_updates import CachedPrefixes, PrefixUpdates
-from .quiet import QuietEngines
 from .rate_limits import RateLimits
 from .reachability import Unreachable
+from .reserved import ReservedEngines
 from .view import UpstreamView
 from .wait_calibration import WaitCalibration
 
@@ -65,7 +65,7 @@
         self._members: dict[PoolId, dict[UpstreamId, UpstreamView]] = {}
         self._wait_calibrations: dict[PoolId, WaitCalibration] = {}
         self._models: dict[PoolId, EngineModel] = {}
-        self._quiet: dict[PoolId, QuietEngines] = {}
+        self._reserved_engines: dict[PoolId, ReservedEngines] = {}
         self.instances = 1.0
         self._ledgers: dict[PoolId, AdmissionLedger] = {}
         self._limit_queues: dict[PoolId, LimitQueue] = {}
@@ -179,11 +179,11 @@
             if model.gaps:
                 log_event("engine_speed", pool=pool, **model.describe())
 
-    def quiet(self, pool: PoolId) -> QuietEngines:
+    def reserved_engines(self, pool: PoolId) -> ReservedEngines:
         """Return which engines of a pool are kept for pause-sensitive streams."""
-        if pool not in self._quiet:
-            self._quiet[pool] = QuietEngines(pool, self.model(pool))
-        return self._quiet[pool]
+        if pool not in self._reserved_engines:
+            self._reserved_engines[pool] = ReservedEngines(pool, self.model(pool))
+        return self._reserved_engines[pool]
 
     def set_contracts(
         self, pools: Iterable[Pool], routes: Iterable[RequestRoute]
@@ -200,7 +200,7 @@
             if pool.engine is not None:
                 for view in self.members(pool.id):
                     view.prefixes.set_memory(pool.engine.memory_tokens)
-                self.quiet(pool.id).set_contracts(
+                self.reserved_engines(pool.id).set_contracts(
                     pool.engine.tokens_per_event, pauses.get(pool.id, set())
                 )
 
--- a/packages/buckthornwall/src/buckthornwall/pools/tests/test_reachability.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/tests/test_reachability.py
@@ -16,7 +16,7 @@
 from buckthornwall.utils import TeamId
 
 from .helpers import POOL, adopt, choose, prompt
-from .test_quiet import pause_sensitive_route
+from .test_reserved import pause_sensitive_route
 
 
 def test_what_was_found_is_told_for_a_while_and_not_after_an_answer():
--- a/packages/buckthornwall/src/buckthornwall/pools/tests/test_quiet.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/tests/test_reserved.py
@@ -1,4 +1,4 @@
-"""Tests of which streams must not pause, and of engines kept for them."""
+"""Tests of which streams must not pause, and of reserved engines for them."""
 
 import pytest
 
@@ -73,7 +73,7 @@
 
 
 def test_a_stream_that_is_mostly_prompt_is_not_kept_with_those_that_must_not_pause():
-    """It brings to such engines what they are kept free of."""
+    """It brings to such engines what they are reserved free of."""
     pool = Pool(POOL, "/", 10, EngineSpec(32, 100_000, 4))
     assert is_pause_sensitive(
         pause_sensitive_route(0.12), pool, prompt_of(800, 90), EngineModel()
@@ -116,43 +116,46 @@
     for number in range(12):
         adopt(table, f"e{number}", 10)
     views = list(table.members(POOL))
-    quiet = table.quiet(POOL)
-    split = quiet.split(views, clock.now())
-    assert (len(split.kept), len(split.others)) == (0, 12)
+    reserved_engines = table.reserved_engines(POOL)
+    split = reserved_engines.split(views, clock.now())
+    assert (len(split.reserved), len(split.others)) == (0, 12)
     views[3].load.pause_sensitive = 12  # beside long prompts, where they take longer
-    split = quiet.split(views, clock.now())
-    assert (len(split.kept), len(split.others)) == (1, 11)
+    split = reserved_engines.split(views, clock.now())
+    assert (len(split.reserved), len(split.others)) == (1, 11)
     views[3].load.pause_sensitive = 0
-    split.kept[0].load.pause_sensitive = 10
-    grown = quiet.split(views, clock.now())
-    assert len(grown.kept) == 3
-    assert grown.kept[0] is split.kept[0]
-    split.kept[0].load.pause_sensitive = 500
-    assert len(quiet.split(views, clock.now()).kept) == 4
-    split.kept[0].load.pause_sensitive = 0
+    split.reserved[0].load.pause_sensitive = 10
+    grown = reserved_engines.split(views, clock.now())
+    assert len(grown.reserved) == 3
+    assert grown.reserved[0] is split.reserved[0]
+    split.reserved[0].load.pause_sensitive = 500
+    assert len(reserved_engines.split(views, clock.now()).reserved) == 4
+    split.reserved[0].load.pause_sensitive = 0
     clock.time += 1
-    assert len(quiet.split(views, clock.now()).kept) == 4
+    assert len(reserved_engines.split(views, clock.now()).reserved) == 4
     clock.time += 60
-    assert quiet.split(views, clock.now()).kept == []
+    assert reserved_engines.split(views, clock.now()).reserved == []
 
 
 def test_streams_overflow_where_the_engines_kept_have_no_room(clock):
     """Two engines of a dozen were told to have a free slot, and got all that came.
 
     With 40,000 to 80,000 pending prefill tokens of their own kind before them first
-    events came after 1.19 s, where engines not kept would have begun them in 0.15 s.
+    events came after 1.19 s, where engines not reserved would have begun them in 0.15
+    s.
     """
     table = PoolTable(clock)
     for number in range(12):
         adopt(table, f"e{number}", 10)
     views = list(table.members(POOL))
-    quiet = table.quiet(POOL)
-    kept = quiet.split(views, clock.now(), pause_sensitive_route()).kept
-    assert quiet.split(views, clock.now()).overflow == 0
-    kept[0].load.pause_sensitive = 32
-    split = quiet.split(views, clock.now())
-    assert (len(split.kept), split.overflow) == (4, 0.5)
-    for view in split.kept[1:]:
+    reserved_engines = table.reserved_engines(POOL)
+    reserved = reserved_engines.split(
+        views, clock.now(), pause_sensitive_route()
+    ).reserved
+    assert reserved_engines.split(views, clock.now()).overflow == 0
+    reserved[0].load.pause_sensitive = 32
+    split = reserved_engines.split(views, clock.now())
+    assert (len(split.reserved), split.overflow) == (4, 0.5)
+    for view in split.reserved[1:]:
         view.load.requests = 10
     keys = [str(number) for number in range(400)]
     everywhere = sum(len(split.open_to(key, clock.now())) == 12 for key in keys)
@@ -165,37 +168,41 @@
     """Those of the first second ran for 8 s beside the first prompts of a day."""
     views = list(table.members(POOL))
     assert (
-        len(table.quiet(POOL).split(views, clock.now(), pause_sensitive_route()).kept)
+        len(
+            table.reserved_engines(POOL)
+            .split(views, clock.now(), pause_sensitive_route())
+            .reserved
+        )
         == 1
     )
 
 
 @pytest.fixture
-def kept(table, clock):
+def reserved(table, clock):
     """Return an engine that runs pause-sensitive streams, and the request fields."""
     view = choose(table, clock, prompt()).view
     table.receive_cached_prefixes({view.id: [("s", 4000)]})
     view.load.pause_sensitive = 3
     more = {
-        "kept": frozenset({view.id}),
+        "reserved": frozenset({view.id}),
         "tokens_per_event": 4,
-        "most_pause_s": 0.12,
+        "max_pause_s": 0.12,
         "free_s": 0.4,
     }
     return view, more
 
 
-def test_a_prompt_that_stretches_pauses_too_far_goes_elsewhere(table, clock, kept):
-    view, more = kept
+def test_a_prompt_that_stretches_pauses_too_far_goes_elsewhere(table, clock, reserved):
+    view, more = reserved
     views = table.usable(POOL, set())
     long = prompt(own_tokens=9000)
     assert choose_engine(views, wanted(long, **more), clock.now()).view is not view
-    more["most_pause_s"] = 0.5  # four steps of 35 ms are within it
+    more["max_pause_s"] = 0.5  # four steps of 35 ms are within it
     assert choose_engine(views, wanted(long, **more), clock.now()).view is view
 
 
-def test_a_short_prompt_does_no_harm_until_more_waits_there(table, clock, kept):
-    view, more = kept
+def test_a_short_prompt_does_no_harm_until_more_waits_there(table, clock, reserved):
+    view, more = reserved
     views = table.usable(POOL, set())
     short = prompt(own_tokens=1000)
     assert choose_engine(views, wanted(short, **more), clock.now()).view is view
@@ -203,8 +210,8 @@
     assert choose_engine(views, wanted(short, **more), clock.now()).view is not view
 
 
-def test_a_kept_engine_is_open_where_all_others_are_crowded(table, clock, kept):
-    view, more = kept
+def test_a_reserved_engine_is_open_where_all_others_are_crowded(table, clock, reserved):
+    view, more = reserved
     views = table.usable(POOL, set())
     for other in views:
         if other is not view:
@@ -216,13 +223,13 @@
 def test_a_pool_too_small_to_be_split_is_left_whole(table, clock):
     views = list(table.members(POOL))[:2]
     views[0].load.pause_sensitive = 9
-    assert table.quiet(POOL).split(views, clock.now()).kept == []
+    assert table.reserved_engines(POOL).split(views, clock.now()).reserved == []
 
 
 def test_engines_are_ordered_anew_when_one_is_gone(table):
-    quiet = table.quiet(POOL)
+    reserved_engines = table.reserved_engines(POOL)
     views = list(table.members(POOL))
-    first = quiet.split(views, 0.0).others
+    first = reserved_engines.split(views, 0.0).others
     fewer = [view for view in views if view is not first[0]]
-    assert quiet.split(fewer, 0.0).others == first[1:]
-    assert quiet.split(views, 0.0).others == first
+    assert reserved_engines.split(fewer, 0.0).others == first[1:]
+    assert reserved_engines.split(views, 0.0).others == first
--- a/packages/buckthornwall/src/buckthornwall/pools/traits.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/traits.py
@@ -4,7 +4,7 @@
 
 from buckthornwall.routing import PromptShape, Resolution, RoutedRequest
 
-from .quiet import is_pause_sensitive
+from .reserved import is_pause_sensitive
 from .table import PoolTable
 
 __all__ = ["RequestTraits"]
