--- a/packages/buckthornwall-standins/src/buckthornwall_standins/pool_sim/instance.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/pool_sim/instance.py
@@ -119,7 +119,7 @@
             load.take_report(engine.report(), now)
             calibration.record(rank, choice.wait_s, now - sent_at)
             if choice.is_first and not choice.copy_from:
-                model.note_first(choice.uncached_tokens, now - sent_at)
+                model.record_first_token(choice.uncached_tokens, now - sent_at)
 
         def on_event(now: float, done: bool) -> None:
             nonlocal last_at, was_idle
@@ -130,7 +130,7 @@
             is_idle = not load.total_pending_prefill()
             if last_at is not None and not done:
                 gap_s = now - last_at
-                model.note_gap(
+                model.record_gap(
                     gap_s,
                     tokens_per_event,
                     is_idle and was_idle,
--- a/packages/buckthornwall/src/buckthornwall/engine_model/model.py
+++ b/packages/buckthornwall/src/buckthornwall/engine_model/model.py
@@ -14,33 +14,35 @@
 # What is taken until streams say otherwise, in seconds a token: a step where nothing
 # is read beside; the longest steps (nine in ten are shorter) and the usual one where
 # prompts are read.
-FIRST_QUIET_STEP_S = 0.008
-FIRST_LONG_STEP_S = 0.035
-FIRST_READING_STEP_S = 0.028
-LONG_SHARE = 0.9
+INITIAL_DECODE_STEP_S = 0.008
+INITIAL_P90_PREFILL_STEP_S = 0.035
+INITIAL_PREFILL_STEP_S = 0.028
+HIGH_QUANTILE = 0.9
 # A step this many times as long as a quiet one was stretched by reading. By counts of
 # pending prefill tokens alone, most steps that seem to be beside reading are quiet
 # ones.
-STRETCH = 2.5
+MIN_PREFILL_STEP_RATIO = 2.5
 # Prompt tokens read in a second, until first tokens say otherwise.
-FIRST_TOKENS_PER_S = 50_000.0
+INITIAL_TOKENS_PER_S = 50_000.0
 # Fewer tokens are read within the time that the ways and the start take.
-LEAST_READ_TOKENS = 1_500
+MIN_MEASURED_TOKENS = 1_500
 
 
 class EngineModel:
     """What is known of the speed of a pool's engines; times in seconds."""
 
     def __init__(self) -> None:
-        self._quiet = QuantileEstimate(FIRST_QUIET_STEP_S, 0.5)
-        self._reading = QuantileEstimate(FIRST_READING_STEP_S, 0.5)
-        self._long = QuantileEstimate(FIRST_LONG_STEP_S, LONG_SHARE)
-        self._rate = QuantileEstimate(FIRST_TOKENS_PER_S, 0.5)
+        self._decode_step = QuantileEstimate(INITIAL_DECODE_STEP_S, 0.5)
+        self._prefill_step = QuantileEstimate(INITIAL_PREFILL_STEP_S, 0.5)
+        self._p90_prefill_step = QuantileEstimate(
+            INITIAL_P90_PREFILL_STEP_S, HIGH_QUANTILE
+        )
+        self._tokens_per_s = QuantileEstimate(INITIAL_TOKENS_PER_S, 0.5)
 
     # What streams show
 
-    def note_gap(
-        self, gap_s: float, tokens: int, was_idle: bool, is_reserved: bool = False
+    def record_gap(
+        self, gap_s: float, tokens: int, is_decode_only: bool, is_reserved: bool = False
     ) -> None:
         """Take the time between two events of a stream.
 
@@ -54,7 +56,7 @@
             Seconds between them.
         tokens
             Tokens that the later event holds.
-        was_idle
+        is_decode_only
             Whether nothing was known to wait there to be read when either came.
         is_reserved
             Whether the engine is kept free of long prompts: its steps say nothing of
@@ -64,40 +66,40 @@
         if tokens <= 0 or gap_s <= 0:
             return
         step_s = gap_s / tokens
-        if was_idle:
-            self._quiet.note(step_s)
-        if not is_reserved and step_s > STRETCH * self.quiet_step_s:
-            self._reading.note(step_s)
-            self._long.note(step_s)
+        if is_decode_only:
+            self._decode_step.record(step_s)
+        if not is_reserved and step_s > MIN_PREFILL_STEP_RATIO * self.decode_step_s:
+            self._prefill_step.record(step_s)
+            self._p90_prefill_step.record(step_s)
 
-    def note_first(self, tokens: int, seen_s: float) -> None:
+    def record_first_token(self, tokens: int, elapsed_s: float) -> None:
         """Take the first token of a prompt that waited for no other.
 
         Parameters
         ----------
         tokens
             How much of it had to be read.
-        seen_s
+        elapsed_s
             Seconds from sending to the first event.
         """
-        if tokens >= LEAST_READ_TOKENS and seen_s > 0:
-            self._rate.note(tokens / seen_s)
+        if tokens >= MIN_MEASURED_TOKENS and elapsed_s > 0:
+            self._tokens_per_s.record(tokens / elapsed_s)
 
     @property
-    def gaps(self) -> int:
+    def gap_count(self) -> int:
         """How many gaps have been learned from."""
-        return self._quiet.count + self._reading.count
+        return self._decode_step.count + self._prefill_step.count
 
     def describe(self) -> dict[str, float]:
         """Return what is believed, and from how much, as pairs of a log line."""
         return {
-            "quiet_step_ms": round(self.quiet_step_s * 1000, 2),
-            "reading_step_ms": round(self.reading_step_s * 1000, 2),
-            "long_step_ms": round(self.long_step_s * 1000, 2),
+            "quiet_step_ms": round(self.decode_step_s * 1000, 2),
+            "reading_step_ms": round(self.prefill_step_s * 1000, 2),
+            "long_step_ms": round(self.p90_prefill_step_s * 1000, 2),
             "tokens_per_ms": round(self.tokens_per_s / 1000, 1),
-            "quiet_gaps": self._quiet.count,
-            "reading_gaps": self._reading.count,
-            "prompts": self._rate.count,
+            "quiet_gaps": self._decode_step.count,
+            "reading_gaps": self._prefill_step.count,
+            "prompts": self._tokens_per_s.count,
         }
 
     # What follows
@@ -105,24 +107,24 @@
     @property
     def tokens_per_s(self) -> float:
         """Prompt tokens that an engine reads in a second."""
-        return self._rate.value
+        return self._tokens_per_s.value
 
     @property
-    def quiet_step_s(self) -> float:
+    def decode_step_s(self) -> float:
         """The usual time of a token where nothing is read beside."""
-        return self._quiet.value
+        return self._decode_step.value
 
     @property
-    def reading_step_s(self) -> float:
+    def prefill_step_s(self) -> float:
         """The usual time of a token where prompts are read beside."""
-        return max(self._reading.value, self._quiet.value)
+        return max(self._prefill_step.value, self._decode_step.value)
 
     @property
-    def long_step_s(self) -> float:
+    def p90_prefill_step_s(self) -> float:
         """The time of a token beside reading that nine in ten stay under."""
-        return max(self._long.value, self.reading_step_s)
+        return max(self._p90_prefill_step.value, self.prefill_step_s)
 
-    def read_s(self, tokens: float) -> float:
+    def prefill_s(self, tokens: float) -> float:
         """Return how long it takes to read so many prompt tokens."""
         return tokens / self.tokens_per_s
 
@@ -132,10 +134,12 @@
         Not longer than an event whose every step is a long one, nor than all of
         the reading together with the steps of an event.
         """
-        filled_s = tokens_per_event * self.long_step_s
-        whole_s = tokens_per_event * self.quiet_step_s + self.read_s(pending_prefill)
-        return min(filled_s, whole_s)
+        slow_steps_s = tokens_per_event * self.p90_prefill_step_s
+        prefill_all_s = tokens_per_event * self.decode_step_s + self.prefill_s(
+            pending_prefill
+        )
+        return min(slow_steps_s, prefill_all_s)
 
-    def longest_s(self, tokens: int) -> float:
+    def slow_decode_s(self, tokens: int) -> float:
         """Return how long an answer takes where prompts are read all the while."""
-        return tokens * self.reading_step_s
+        return tokens * self.prefill_step_s
--- a/packages/buckthornwall/src/buckthornwall/engine_model/quantile.py
+++ b/packages/buckthornwall/src/buckthornwall/engine_model/quantile.py
@@ -2,34 +2,34 @@
 
 __all__ = ["QuantileEstimate"]
 
-# Part by which one figure moves an estimate at most. A hundred figures carry it from
-# a guess to one twice as high; one wild figure moves it no further than any other.
-STEP = 0.03
+# Part by which one sample moves an estimate at most. A hundred figures carry it from
+# a guess to one twice as high; one wild sample moves it no further than any other.
+RELATIVE_STEP = 0.03
 
 
 class QuantileEstimate:
     """The value below which a given share of recent figures lies.
 
-    Each figure moves the estimate by a fixed part up or down, whatever its size, so
+    Each sample moves the estimate by a fixed part up or down, whatever its size, so
     that a few stalls say as little as they should. Recent figures count most.
 
     Parameters
     ----------
-    first
+    initial
         What is taken until figures say otherwise; positive.
-    share
+    quantile
         The share of figures below, 0 to 1.
     """
 
-    def __init__(self, first: float, share: float) -> None:
-        self.value = first
-        self.share = share
+    def __init__(self, initial: float, quantile: float) -> None:
+        self.value = initial
+        self.quantile = quantile
         self.count = 0
 
-    def note(self, figure: float) -> None:
-        """Take one figure."""
+    def record(self, sample: float) -> None:
+        """Take one sample."""
         self.count += 1
-        if figure > self.value:
-            self.value *= 1 + STEP * self.share
+        if sample > self.value:
+            self.value *= 1 + RELATIVE_STEP * self.quantile
         else:
-            self.value /= 1 + STEP * (1 - self.share)
+            self.value /= 1 + RELATIVE_STEP * (1 - self.quantile)
--- a/packages/buckthornwall/src/buckthornwall/forwarding/attempt.py
+++ b/packages/buckthornwall/src/buckthornwall/forwarding/attempt.py
@@ -271,7 +271,7 @@
         if self._last_at is not None and events == 1:
             gap_s = now - self._last_at
             was_idle = is_idle and self._was_idle
-            self.model.note_gap(
+            self.model.record_gap(
                 gap_s, self.tokens_per_event, was_idle, self.is_reserved
             )
         self._last_at = now
--- a/packages/buckthornwall/src/buckthornwall/forwarding/forwarder.py
+++ b/packages/buckthornwall/src/buckthornwall/forwarding/forwarder.py
@@ -289,7 +289,9 @@
                 job.resolution.rank, choice.wait_s, seen_s
             )
             if choice.is_first and not choice.copy_from:
-                self.pools.model(pool).note_first(choice.uncached_tokens, seen_s)
+                self.pools.model(pool).record_first_token(
+                    choice.uncached_tokens, seen_s
+                )
 
     def _most_idle_s(self, job: Job) -> float:
         """Return how long a connection may have been idle for this request.
--- a/packages/buckthornwall/src/buckthornwall/peers/messages.py
+++ b/packages/buckthornwall/src/buckthornwall/peers/messages.py
@@ -105,8 +105,8 @@
     `count` is the number of instances that serve, and `loads` the sum of their
     work: over the fleet if `is_fleet`, else over the zone; `cached_prefixes` are the
     shared parts of prompts that they have lately sent to each upstream. `members` gives
-    the weight of each, `speakers` the speaker's address of each zone. `freshest_peer` is
-    the address of the instance with the highest `number` and `change_revision`, and
+    the weight of each, `speakers` the speaker's address of each zone. `freshest_peer`
+    is the address of the instance with the highest `number` and `change_revision`, and
     `read_age_ms` how long ago the store last answered any of them, and
     `store_uptime_ms` the longest time for which it has answered one of them without an
     outage. `age_ms` is 0 unless another instance passes the digest on. Heartbeats
--- a/packages/buckthornwall/src/buckthornwall/pools/expectation.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/expectation.py
@@ -37,6 +37,6 @@
         0, traits.prompt.prompt_tokens - view.prefixes.cached_tokens(traits.prompt)
     )
     pending_prefill = uncached + view.load.pending_prefill_before(resolution.rank)
-    wait_s = pools.model(resolution.pool.id).read_s(pending_prefill)
+    wait_s = pools.model(resolution.pool.id).prefill_s(pending_prefill)
     factor = pace_factor(pools, traits)
     return max(wait_s * factor, view.load.oldest_before_s(resolution.rank, now))
--- a/packages/buckthornwall/src/buckthornwall/pools/placement.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/placement.py
@@ -152,11 +152,11 @@
     best = min(offers, key=lambda offer: offer.cost)
     load = best.view.load
     pending_prefill = load.total_pending_prefill()
-    own_s = wanted.model.read_s(best.uncached_tokens)
+    own_s = wanted.model.prefill_s(best.uncached_tokens)
     return Choice(
         best.view,
         best.uncached_tokens,
-        own_s + wanted.model.read_s(load.pending_prefill_before(wanted.rank)),
+        own_s + wanted.model.prefill_s(load.pending_prefill_before(wanted.rank)),
         own_s,
         _busy_share(best.view, now),
         load.oldest_before_s(wanted.rank, now),
@@ -207,7 +207,7 @@
     if _is_full(view, prompt):
         ahead_s += FULL_S
     ahead_s -= (1 - FREE_WEIGHT) * min(ahead_s, wanted.free_wait_s)
-    cost = ahead_s + wanted.model.read_s(uncached + (weight - 1) * missing)
+    cost = ahead_s + wanted.model.prefill_s(uncached + (weight - 1) * missing)
     if view.entry.zone != wanted.zone:
         cost += ZONE_S
     if view.id in wanted.reserved:
@@ -238,9 +238,9 @@
     before = view.load.pending_prefill_before(wanted.rank)
     behind = view.load.total_pending_prefill() - before
     steps = in_flight * RUNNING_STEPS + queued * QUEUED_STEPS
-    reading_s = wanted.model.read_s(before + BEHIND_WEIGHT * behind)
+    reading_s = wanted.model.prefill_s(before + BEHIND_WEIGHT * behind)
     cold_s = COLD_SHARE * view.cold_s(now)
-    return reading_s + steps * wanted.model.quiet_step_s + cold_s
+    return reading_s + steps * wanted.model.decode_step_s + cold_s
 
 
 def _busy_share(view: UpstreamView, now: float) -> float:
--- a/packages/buckthornwall/src/buckthornwall/pools/reserved.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/reserved.py
@@ -55,10 +55,10 @@
         return False
     if not prompt.is_decode_heavy:
         return False  # it brings to such engines what they are kept free of
-    event_s = pool.engine.tokens_per_event * model.long_step_s
+    event_s = pool.engine.tokens_per_event * model.p90_prefill_step_s
     if event_s > SAFE_PAUSE_SHARE * route.max_pause_s:
         return True
-    return model.longest_s(prompt.max_output_tokens) > route.timeout_s
+    return model.slow_decode_s(prompt.max_output_tokens) > route.timeout_s
 
 
 @dataclass(frozen=True, slots=True)
@@ -136,7 +136,7 @@
         must not pause every few seconds, and until its first one would send long
         prompts to the reserved engines for them.
         """
-        event_s = self._event_tokens * self.model.long_step_s
+        event_s = self._event_tokens * self.model.p90_prefill_step_s
         shortest = next(iter(self._pauses), math.inf)
         if event_s <= SAFE_PAUSE_SHARE * shortest:
             shortest = math.inf
@@ -189,7 +189,7 @@
         self, views: list[UpstreamView], now: float, arriving: bool
     ) -> None:
         # A stream beside long prompts lasts longer than it would on a quiet engine.
-        slowdown = self.model.reading_step_s / self.model.quiet_step_s
+        slowdown = self.model.prefill_step_s / self.model.decode_step_s
         running = arriving + sum(
             view.load.total_pause_sensitive()
             / (1 if view.id in self._reserved else slowdown)
--- a/packages/buckthornwall/src/buckthornwall/pools/table.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/table.py
@@ -176,7 +176,7 @@
     def log_speeds(self) -> None:
         """Log what is believed of the speed of each pool of model engines."""
         for pool, model in self._models.items():
-            if model.gaps:
+            if model.gap_count:
                 log_event("engine_speed", pool=pool, **model.describe())
 
     def reserved_engines(self, pool: PoolId) -> ReservedEngines:
--- a/packages/buckthornwall/src/buckthornwall/pools/tests/test_reserved.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/tests/test_reserved.py
@@ -50,8 +50,8 @@
     """Return a model of engines whose steps beside reading take so long."""
     model = EngineModel()
     for _ in range(500):
-        model.note_gap(0.004, 1, was_idle=True)
-        model.note_gap(step_s, 1, was_idle=False)
+        model.record_gap(0.004, 1, is_decode_only=True)
+        model.record_gap(step_s, 1, is_decode_only=False)
     return model
 
 
