--- a/packages/buckthornwall/src/buckthornwall/forwarding/__init__.py
+++ b/packages/buckthornwall/src/buckthornwall/forwarding/__init__.py
@@ -11,7 +11,7 @@
 `crash_guard` requests that crash upstreams: what shows it, what follows
 `limit_gate`  who is sent, and who waits, where a pool has rate limits
 `job`         a request on its way through the attempts
-`account`     what is logged and counted of requests
+`request_telemetry` log lines and metrics of requests
 `forwarder`   the attempts of a request until it is answered or refused
 ============= ============================================================
 """
@@ -19,14 +19,14 @@
 from .budgets import RetryBudgets
 from .connections import ConnectionCache
 from .forwarder import Forwarder, ForwardingSettings
-from .reply import Reply, Sending, WireCodec
+from .reply import AttemptContext, Reply, WireCodec
 
 __all__ = [
+    "AttemptContext",
     "ConnectionCache",
     "Forwarder",
     "ForwardingSettings",
     "Reply",
     "RetryBudgets",
-    "Sending",
     "WireCodec",
 ]
--- a/packages/buckthornwall/src/buckthornwall/forwarding/attempt.py
+++ b/packages/buckthornwall/src/buckthornwall/forwarding/attempt.py
@@ -21,16 +21,16 @@
 
 from .connections import ConnectionCache
 from .delivery import Delivery
-from .reply import Reply, Sending, WireCodec
+from .reply import AttemptContext, Reply, WireCodec
 
 __all__ = ["Attempt", "AttemptEnd", "AttemptResult"]
 
-MAX_WHOLE_BYTES = 4 * 2**20
+MAX_BODY_BYTES = 4 * 2**20
 # How an exchange fails when its upstream ends beneath it.
-UPSTREAM_ENDS = frozenset({ExchangeFailure.RESET, ExchangeFailure.ENDED})
+CONNECTION_LOST = frozenset({ExchangeFailure.RESET, ExchangeFailure.ENDED})
 # A reply that names another request is skipped this often before it counts as
 # garbage.
-MOST_FOREIGN_REPLIES = 2
+MAX_FOREIGN_REPLIES = 2
 
 
 class AttemptEnd(Enum):
@@ -62,16 +62,16 @@
         return self.reply is not None and self.reply.misdirected
 
     @property
-    def is_broken_off(self) -> bool:
+    def is_connection_lost(self) -> bool:
         """Whether the exchange failed as it does when its upstream ends."""
-        return self.failure in UPSTREAM_ENDS
+        return self.failure in CONNECTION_LOST
 
 
 @dataclass(slots=True)
 class Attempt:
     """What one attempt needs.
 
-    `silence_s` is how long to wait for the head of a reply, and `event_silence_s`
+    `head_timeout_s` is how long to wait for the head of a reply, and `event_timeout_s`
     for each event after it, in seconds; None is as long as the caller waits.
     `note_prompt` is told that the prompt goes to the upstream, `record_rate_limit` the
     limit that it names, and `model` what the stream shows of its speed.
@@ -85,12 +85,12 @@
     codec: WireCodec
     clock: Clock
     remaining_s: float
-    most_idle_s: float
-    silence_s: float | None
+    max_idle_s: float
+    head_timeout_s: float | None
     note_prompt: Callable[[UpstreamView, PromptShape], None]
     record_rate_limit: Callable[[UpstreamView, float], None]
     model: EngineModel
-    event_silence_s: float | None = None
+    event_timeout_s: float | None = None
     pause_sensitive: bool = False
 
     async def run(self) -> AttemptResult:
@@ -98,7 +98,7 @@
         view = self.choice.view
         try:
             connection = await self.connections.acquire(
-                view.id, view.entry.address, self.most_idle_s
+                view.id, view.entry.address, self.max_idle_s
             )
         except ExchangeError as error:
             return AttemptResult(AttemptEnd.NOT_SENT, error.detail)
@@ -120,10 +120,10 @@
             load.pause_sensitive -= self.pause_sensitive
             load.memory -= memory
             pending_prefill.clear(is_served=False)
-            if reply is None or reply.closes or reply.misdirected:
+            if reply is None or reply.closes_connection or reply.misdirected:
                 self.connections.drop(view.id, connection)
             else:
-                self.connections.release(view.id, connection, reply.idle_limit_s)
+                self.connections.release(view.id, connection, reply.idle_timeout_s)
         return result
 
     async def _exchange(
@@ -137,13 +137,13 @@
             await connection.send(
                 self.request.method,
                 self.request.target,
-                self.codec.encode(self.request, self._sending()),
+                self.codec.encode(self.request, self._context()),
                 self.request.body,
             )
-            with _limit(self.silence_s):
-                reply = await self._own_reply(connection)
-            self._note_reply(reply)
-            return await self._take_reply(connection, reply, pending_prefill)
+            with _limit(self.head_timeout_s):
+                reply = await self._receive_reply(connection)
+            self._record_reply(reply)
+            return await self._handle_reply(connection, reply, pending_prefill)
         except ExchangeError as error:
             return None, AttemptResult(
                 AttemptEnd.BROKEN, error.detail, failure=error.failure
@@ -154,7 +154,7 @@
                 AttemptEnd.BROKEN, failure.value, failure=failure
             )
 
-    def _note_reply(self, reply: Reply) -> None:
+    def _record_reply(self, reply: Reply) -> None:
         """Record that the upstream answers, unless another one did at its address."""
         if reply.misdirected:
             return
@@ -162,11 +162,11 @@
         self.choice.view.reachability.record_answered(now)
         if reply.load is not None:
             self.choice.view.load.take_report(reply.load, now)
-        if reply.rate_limit is not None and (reply.names_limit or reply.attested):
+        if reply.rate_limit is not None and (reply.has_rate_limit or reply.attested):
             self.record_rate_limit(self.choice.view, reply.rate_limit)
 
-    def _sending(self) -> Sending:
-        return Sending(
+    def _context(self) -> AttemptContext:
+        return AttemptContext(
             upstream=self.choice.view.entry,
             team=self.resolution.team,
             rank=self.resolution.rank,
@@ -175,43 +175,43 @@
             copy_from=self.choice.copy_from,
         )
 
-    async def _own_reply(self, connection: ClientConnection) -> Reply:
+    async def _receive_reply(self, connection: ClientConnection) -> Reply:
         """Return the reply to this request, past late ones to others."""
-        for _ in range(MOST_FOREIGN_REPLIES):
+        for _ in range(MAX_FOREIGN_REPLIES):
             reply = self.codec.decode(await connection.receive_head())
             if reply.request_id in ("", self.request.id):
                 return reply
             await connection.skip_reply()
         raise ExchangeError(ExchangeFailure.GARBLED, "replies to other requests")
 
-    async def _take_reply(
+    async def _handle_reply(
         self,
         connection: ClientConnection,
         reply: Reply,
         pending_prefill: "_PendingPrefill",
     ) -> tuple[Reply | None, AttemptResult]:
         response_mode = self.resolution.route.response_mode
-        if reply.good and response_mode is ResponseMode.EVENT_STREAM:
+        if reply.is_attested_success and response_mode is ResponseMode.EVENT_STREAM:
             await self._relay_events(connection, reply, pending_prefill)
             return reply, AttemptResult(AttemptEnd.DONE)
-        body = await self._read_whole(connection)
+        body = await self._read_body(connection)
         if reply.not_run:
             return reply, AttemptResult(AttemptEnd.NOT_RUN, str(reply.status), reply)
-        if 200 <= reply.status < 300 and not reply.good:
+        if 200 <= reply.status < 300 and not reply.is_attested_success:
             return None, AttemptResult(AttemptEnd.BROKEN, "success not attested")
         if reply.status >= 500:
             detail = f"status {reply.status}"
             return reply, AttemptResult(AttemptEnd.FAILED, detail, reply, body)
         if self.delivery.started:
             return None, AttemptResult(AttemptEnd.BROKEN, f"resumed {reply.status}")
-        await self.delivery.whole(reply, body)
+        await self.delivery.send_complete(reply, body)
         return reply, AttemptResult(AttemptEnd.DONE)
 
-    async def _read_whole(self, connection: ClientConnection) -> bytes:
+    async def _read_body(self, connection: ClientConnection) -> bytes:
         body = bytearray()
         while data := await connection.receive_data():
             body += data
-            if len(body) > MAX_WHOLE_BYTES:
+            if len(body) > MAX_BODY_BYTES:
                 raise ExchangeError(ExchangeFailure.GARBLED, "reply too large")
         return bytes(body)
 
@@ -222,16 +222,16 @@
         pending_prefill: "_PendingPrefill",
     ) -> None:
         view = self.choice.view
-        watch = _StepWatch(
+        observer = _StepObserver(
             view, self.model, self._tokens_per_event(), self.pause_sensitive
         )
         while data := await self._next_data(connection):
             now = self.clock.now()
             view.reachability.record_answered(now)
-            events = await self.delivery.events(reply, data)
+            events = await self.delivery.send_events(reply, data)
             if events:
                 pending_prefill.clear(is_served=True)
-                watch.note(events, now)
+                observer.record(events, now)
         await self.delivery.end(reply)
 
     def _tokens_per_event(self) -> int:
@@ -239,7 +239,7 @@
         return engine.tokens_per_event if engine is not None else 0
 
     async def _next_data(self, connection: ClientConnection) -> bytes:
-        with _limit(self.event_silence_s):
+        with _limit(self.event_timeout_s):
             return await connection.receive_data()
 
 
@@ -248,7 +248,7 @@
     return trio.fail_after(math.inf if seconds is None else seconds)
 
 
-class _StepWatch:
+class _StepObserver:
     """Shows a model of engines the times between a stream's events."""
 
     def __init__(
@@ -262,19 +262,19 @@
         self.model = model
         self.tokens_per_event = tokens_per_event
         self.is_reserved = is_reserved
-        self._last_at: float | None = None
+        self._last_event_at: float | None = None
         self._was_idle = False
 
-    def note(self, events: int, now: float) -> None:
+    def record(self, events: int, now: float) -> None:
         """Take events that came together at `now`."""
         is_idle = not self.view.load.total_pending_prefill()
-        if self._last_at is not None and events == 1:
-            gap_s = now - self._last_at
+        if self._last_event_at is not None and events == 1:
+            gap_s = now - self._last_event_at
             was_idle = is_idle and self._was_idle
             self.model.record_gap(
                 gap_s, self.tokens_per_event, was_idle, self.is_reserved
             )
-        self._last_at = now
+        self._last_event_at = now
         self._was_idle = is_idle
 
 
--- a/packages/buckthornwall/src/buckthornwall/forwarding/budgets.py
+++ b/packages/buckthornwall/src/buckthornwall/forwarding/budgets.py
@@ -11,12 +11,12 @@
 __all__ = ["RetryBudgets"]
 
 # Both are kept below what is allowed, since instances count a little apart.
-CAUTION = 0.8
+SAFETY_FACTOR = 0.8
 # What is kept of a higher number of instances from one look to the next.
-FADE = 0.99
+INSTANCE_COUNT_DECAY = 0.99
 # What an instance that has heard nobody yet takes the fleet to be: after a loss
 # of all, each would else start with the part of all.
-FIRST_INSTANCES = 12.0
+INITIAL_INSTANCES = 12.0
 
 
 class RetryBudgets:
@@ -31,9 +31,9 @@
     """
 
     def __init__(self, ratio: float, reserve: float) -> None:
-        self.ratio = ratio * CAUTION
-        self.reserve = reserve * CAUTION
-        self.instances = FIRST_INSTANCES
+        self.ratio = ratio * SAFETY_FACTOR
+        self.reserve = reserve * SAFETY_FACTOR
+        self.instances = INITIAL_INSTANCES
         self._budgets: dict[PoolId, RetryBudget] = {}
 
     def set_instances(self, count: int) -> None:
@@ -42,9 +42,9 @@
         A lower number counts only little by little: instances that are cut off
         from each other must not each take the part of all.
         """
-        self.instances = max(1.0, float(count), self.instances * FADE)
+        self.instances = max(1.0, float(count), self.instances * INSTANCE_COUNT_DECAY)
         for budget in self._budgets.values():
-            budget.reserve = self._own_reserve()
+            budget.reserve = self._local_reserve()
             budget.balance = min(budget.balance, budget.reserve)
 
     def earn(self, pool: PoolId) -> None:
@@ -55,10 +55,10 @@
         """Take one repeat; False if there is none left."""
         return self._budget(pool).spend()
 
-    def _own_reserve(self) -> float:
+    def _local_reserve(self) -> float:
         return max(1.0, self.reserve / self.instances)
 
     def _budget(self, pool: PoolId) -> RetryBudget:
         if pool not in self._budgets:
-            self._budgets[pool] = RetryBudget(self.ratio, self._own_reserve())
+            self._budgets[pool] = RetryBudget(self.ratio, self._local_reserve())
         return self._budgets[pool]
--- a/packages/buckthornwall/src/buckthornwall/forwarding/connections.py
+++ b/packages/buckthornwall/src/buckthornwall/forwarding/connections.py
@@ -6,11 +6,11 @@
 __all__ = ["ConnectionCache"]
 
 # An upstream that names no limit is taken to close idle connections after 5 s.
-IDLE_LIMIT_S = 4.0
+DEFAULT_IDLE_TIMEOUT_S = 4.0
 # Part of a named limit after which a connection is no longer used.
-IDLE_SHARE = 0.7
+IDLE_TIMEOUT_FRACTION = 0.7
 # An upstream has that many idle connections from here at most.
-MOST_IDLE = 16
+MAX_IDLE_PER_UPSTREAM = 16
 
 
 class ConnectionCache:
@@ -30,10 +30,10 @@
         self.opened = 0
         self._idle: dict[UpstreamId, list[ClientConnection]] = {}
         self._busy: dict[UpstreamId, set[ClientConnection]] = {}
-        self._limits: dict[UpstreamId, float] = {}
+        self._idle_timeouts: dict[UpstreamId, float] = {}
 
     async def acquire(
-        self, upstream: UpstreamId, address: str, most_idle_s: float
+        self, upstream: UpstreamId, address: str, max_idle_s: float
     ) -> ClientConnection:
         """Return a sound idle connection, or a new one.
 
@@ -41,7 +41,7 @@
         ----------
         upstream, address
             Whom to reach, and where, as ``IP:port``.
-        most_idle_s
+        max_idle_s
             Longest idle time, in seconds, that the caller accepts.
 
         Raises
@@ -50,18 +50,20 @@
             UNREACHABLE, with nothing sent.
         """
         idle = self._idle.get(upstream)
-        limit = min(most_idle_s, self._limits.get(upstream, IDLE_LIMIT_S))
+        limit_s = min(
+            max_idle_s, self._idle_timeouts.get(upstream, DEFAULT_IDLE_TIMEOUT_S)
+        )
         now = self.clock.now()
         while idle:
             connection = idle.pop()
-            if now - connection.idle_since <= limit and connection.is_sound():
-                return self._lend(upstream, connection)
+            if now - connection.idle_since <= limit_s and connection.is_sound():
+                return self._check_out(upstream, connection)
             connection.close()
         self.opened += 1
         connection = await ClientConnection.connect(address, self.connect_timeout_s)
-        return self._lend(upstream, connection)
+        return self._check_out(upstream, connection)
 
-    def _lend(
+    def _check_out(
         self, upstream: UpstreamId, connection: ClientConnection
     ) -> ClientConnection:
         self._busy.setdefault(upstream, set()).add(connection)
@@ -76,16 +78,16 @@
         self,
         upstream: UpstreamId,
         connection: ClientConnection,
-        idle_limit_s: float | None,
+        idle_timeout_s: float | None,
     ) -> None:
         """Keep a connection whose exchange is whole, or close it."""
         self._busy.get(upstream, set()).discard(connection)
         idle = self._idle.setdefault(upstream, [])
-        if not connection.is_reusable() or len(idle) >= MOST_IDLE:
+        if not connection.is_reusable() or len(idle) >= MAX_IDLE_PER_UPSTREAM:
             connection.close()
             return
-        if idle_limit_s is not None:
-            self._limits[upstream] = idle_limit_s * IDLE_SHARE
+        if idle_timeout_s is not None:
+            self._idle_timeouts[upstream] = idle_timeout_s * IDLE_TIMEOUT_FRACTION
         connection.idle_since = self.clock.now()
         idle.append(connection)
 
@@ -93,17 +95,17 @@
         """Close what has been idle for too long."""
         now = self.clock.now()
         for upstream, idle in self._idle.items():
-            limit = self._limits.get(upstream, IDLE_LIMIT_S)
-            while idle and now - idle[0].idle_since > limit:
+            limit_s = self._idle_timeouts.get(upstream, DEFAULT_IDLE_TIMEOUT_S)
+            while idle and now - idle[0].idle_since > limit_s:
                 idle.pop(0).close()
 
     def forget(self, upstream: UpstreamId) -> None:
         """Close the idle connections to an upstream that is gone."""
         for connection in self._idle.pop(upstream, ()):
             connection.close()
-        self._limits.pop(upstream, None)
+        self._idle_timeouts.pop(upstream, None)
 
-    def abandon(self, upstream: UpstreamId) -> None:
+    def close_all(self, upstream: UpstreamId) -> None:
         """Close every connection to an upstream that started again.
 
         Its earlier start answers nothing more, whether or not a reset tells so.
--- a/packages/buckthornwall/src/buckthornwall/forwarding/crash_guard.py
+++ b/packages/buckthornwall/src/buckthornwall/forwarding/crash_guard.py
@@ -61,7 +61,7 @@
             self.quarantine.record_success(job.fingerprint, entry.pool, now)
             return False
         is_listed = self.pools.views.get(entry.id) is choice.view
-        if not result.is_broken_off or not await self.liveness.has_ended(entry):
+        if not result.is_connection_lost or not await self.liveness.has_ended(entry):
             return False
         if is_listed and entry.state is UpstreamState.READY:  # else it left as planned
             tag = generation_tag(entry.pool, entry.id, entry.generation)
--- a/packages/buckthornwall/src/buckthornwall/forwarding/delivery.py
+++ b/packages/buckthornwall/src/buckthornwall/forwarding/delivery.py
@@ -29,8 +29,8 @@
         self.answer = answer
         self.clock = clock
         self.joiner = EventJoiner(resume_after)
-        self.first_at: float | None = None
-        self.last_at: float | None = None
+        self.first_sent_at: float | None = None
+        self.last_sent_at: float | None = None
         self.longest_pause_s = 0.0
         self.done = False
         self.status = 0
@@ -40,26 +40,26 @@
         """Whether the caller has got any of the answer."""
         return self.answer.started
 
-    async def whole(self, reply: Reply, body: bytes) -> None:
+    async def send_complete(self, reply: Reply, body: bytes) -> None:
         """Deliver a whole reply."""
-        self.first_at = self.clock.now()
+        self.first_sent_at = self.clock.now()
         self.status = reply.status
         await self.answer.whole(reply.status, reply.headers, body)
         self.done = True
 
-    async def events(self, reply: Reply, data: bytes) -> int:
+    async def send_events(self, reply: Reply, data: bytes) -> int:
         """Deliver the events that `data` completes; return how many did."""
-        before = self.joiner.events
-        events = self.joiner.take(data)
+        before = self.joiner.event_count
+        events = self.joiner.feed(data)
         if not events:
             return 0
-        self._note_time()
+        self._record_time()
         if self.answer.started:
             await self.answer.send(events)
         else:
             self.status = reply.status
             await self.answer.begin(reply.status, reply.headers, events)
-        return self.joiner.events - before
+        return self.joiner.event_count - before
 
     async def end(self, reply: Reply) -> None:
         """Deliver the end of a whole stream."""
@@ -70,10 +70,10 @@
         await self.answer.end(rest)
         self.done = True
 
-    def _note_time(self) -> None:
+    def _record_time(self) -> None:
         now = self.clock.now()
-        if self.first_at is None:
-            self.first_at = now
+        if self.first_sent_at is None:
+            self.first_sent_at = now
         else:
-            self.longest_pause_s = max(self.longest_pause_s, now - self.last_at)
-        self.last_at = now
+            self.longest_pause_s = max(self.longest_pause_s, now - self.last_sent_at)
+        self.last_sent_at = now
--- a/packages/buckthornwall/src/buckthornwall/forwarding/events.py
+++ b/packages/buckthornwall/src/buckthornwall/forwarding/events.py
@@ -15,57 +15,57 @@
     ----------
     last_id : str
         Id of the last event given, or ''.
-    events : int
+    event_count : int
         Events given.
     """
 
     def __init__(self, last_id: str = "") -> None:
         self.last_id = last_id
-        self.events = 0
-        self._rest = b""
+        self.event_count = 0
+        self._partial = b""
         self._resumed = False
 
-    def take(self, data: bytes) -> bytes:
+    def feed(self, data: bytes) -> bytes:
         """Return the whole events that `data` completes."""
-        data = self._rest + data
+        data = self._partial + data
         end = 0
-        for mark in EVENT_END.finditer(data):
-            end = mark.end()
-        self._rest = data[end:]
-        return self._pass(data[:end]) if end else b""
+        for match in EVENT_END.finditer(data):
+            end = match.end()
+        self._partial = data[end:]
+        return self._forward(data[:end]) if end else b""
 
     def finish(self) -> bytes:
         """Return what stands behind the last whole event of a whole stream."""
-        rest, self._rest = self._rest, b""
+        rest, self._partial = self._partial, b""
         return rest
 
     def resume(self) -> None:
         """Expect another run, which goes on after `last_id`."""
-        self._rest = b""
+        self._partial = b""
         self._resumed = True
 
-    def _pass(self, events: bytes) -> bytes:
+    def _forward(self, events: bytes) -> bytes:
         if self._resumed:
-            events = self._drop_given(events)
+            events = self._drop_duplicates(events)
         ids = EVENT_ID.findall(events)
         if ids:
             self.last_id = ids[-1].decode("latin-1")
-        self.events += len(EVENT_END.findall(events))
+        self.event_count += len(EVENT_END.findall(events))
         return events
 
-    def _drop_given(self, events: bytes) -> bytes:
+    def _drop_duplicates(self, events: bytes) -> bytes:
         """Leave out the events that an earlier run gave already."""
         kept = []
         start = 0
-        for mark in EVENT_END.finditer(events):
-            event = events[start : mark.end()]
-            start = mark.end()
+        for match in EVENT_END.finditer(events):
+            event = events[start : match.end()]
+            start = match.end()
             found = EVENT_ID.search(event)
-            if found is None or not self._is_given(found[1].decode("latin-1")):
+            if found is None or not self._is_duplicate(found[1].decode("latin-1")):
                 kept.append(event)
         return b"".join(kept)
 
-    def _is_given(self, event_id: str) -> bool:
+    def _is_duplicate(self, event_id: str) -> bool:
         if event_id.isdigit() and self.last_id.isdigit():
             return int(event_id) <= int(self.last_id)
         return event_id == self.last_id
--- a/packages/buckthornwall/src/buckthornwall/forwarding/forwarder.py
+++ b/packages/buckthornwall/src/buckthornwall/forwarding/forwarder.py
@@ -31,7 +31,6 @@
     ZoneId,
 )
 
-from .account import RequestAccount
 from .attempt import Attempt, AttemptEnd, AttemptResult
 from .budgets import RetryBudgets
 from .connections import ConnectionCache
@@ -40,27 +39,28 @@
 from .job import Job
 from .limit_gate import LimitGate
 from .liveness import LivenessChecks
-from .no_upstream import NO_ENGINE_RETRY_S, refusal_without_upstream
+from .no_upstream import NO_UPSTREAM_RETRY_S, refusal_without_upstream
 from .reply import WireCodec
+from .request_telemetry import RequestTelemetry
 
 __all__ = ["Forwarder", "ForwardingSettings"]
 
 # Statuses by which HTTP tells a caller that its request was not and will not
 # be run; they are never used for one that may have run.
-PROMISES_NOT_RUN = frozenset({408, 421, 429, 503})
+NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
 BAD_GATEWAY = 502
 # A silent upstream is given up after this many targets, if others may try.
-SILENCE_TARGETS = 4.0
-SILENCE_SHARE = 0.5
+HEAD_TIMEOUT_TARGETS = 4.0
+HEAD_TIMEOUT_FRACTION = 0.5
 # A stream that may be resumed is given up before its first event after so many
 # targets or expected waits, and later after so many of the longest pauses that its
 # contract allows. A connection may go silent for good without a reset, and its
 # callers leave after eight such pauses.
-STREAM_SILENCE_TARGETS = 2.0
-SILENCE_WAITS = 3.0
-SILENCE_PAUSES = 4.0
-LEAST_REMAINING_S = 0.02
-LEAVING_RETRY_S = 0.05
+STREAM_HEAD_TIMEOUT_TARGETS = 2.0
+STREAM_HEAD_TIMEOUT_WAITS = 3.0
+EVENT_TIMEOUT_PAUSES = 4.0
+MIN_REMAINING_S = 0.02
+DRAINING_RETRY_S = 0.05
 
 
 class ForwardingSettings(ConfigNamespace):
@@ -123,7 +123,7 @@
         quarantine: QuarantineTable,
     ) -> None:
         self.metrics = metrics
-        self.account = RequestAccount(metrics, clock)
+        self.telemetry = RequestTelemetry(metrics, clock)
         self.settings = settings
         self.zone = zone
         self.table = table
@@ -166,7 +166,9 @@
         try:
             await self._answer(job, answer)
         except (AnswerCut, trio.Cancelled):
-            self.account.finished(job, "cut" if job.delivery.started else "caller_gone")
+            self.telemetry.record_end(
+                job, "cut" if job.delivery.started else "caller_gone"
+            )
             raise
 
     def forget_upstream(self, upstream: UpstreamId) -> None:
@@ -174,56 +176,58 @@
         self.connections.forget(upstream)
         self.liveness.forget(upstream)
 
-    async def refuse_unread(self, answer: Answer, refusal: Refusal) -> None:
+    async def refuse_unreadable(self, answer: Answer, refusal: Refusal) -> None:
         """Answer what could not be read as a request of the platform."""
         await self._refuse("", None, answer, refusal)
 
-    async def refuse_leaving(self, request: RoutedRequest, answer: Answer) -> None:
+    async def refuse_draining(self, request: RoutedRequest, answer: Answer) -> None:
         """Send a caller to another instance while this one stops."""
         refusal = Refusal(
-            ResultCode.NOT_READY, "leaving", retry_after_s=LEAVING_RETRY_S
+            ResultCode.NOT_READY, "leaving", retry_after_s=DRAINING_RETRY_S
         )
         await self._refuse(request.id, None, answer, refusal)
 
     async def _answer(self, job: Job, answer: Answer) -> None:
         with trio.CancelScope(deadline=job.deadline) as scope:
-            refusal = await self._attempts(job)
+            refusal = await self._run_attempts(job)
         if scope.cancelled_caught:
             job.detail = "deadline"
             code = ResultCode.UPSTREAM_TIMEOUT if job.runs else ResultCode.NO_ENGINE
-            refusal = Refusal(code, run=job.run, retry_after_s=NO_ENGINE_RETRY_S)
+            refusal = Refusal(code, run=job.run, retry_after_s=NO_UPSTREAM_RETRY_S)
         if job.delivery.done:
-            self.account.finished(job, "answered")
+            self.telemetry.record_end(job, "answered")
         elif job.delivery.started:
             raise AnswerCut(job.detail)
         elif job.last_failed is not None:
-            await job.delivery.whole(job.last_failed.reply, job.last_failed.body)
-            self.account.finished(job, "upstream_failed")
+            await job.delivery.send_complete(
+                job.last_failed.reply, job.last_failed.body
+            )
+            self.telemetry.record_end(job, "upstream_failed")
         else:
             await self._refuse(job.request.id, job, answer, refusal)
 
-    async def _attempts(self, job: Job) -> Refusal | None:
+    async def _run_attempts(self, job: Job) -> Refusal | None:
         """Try upstreams until one answers; return why none did."""
         while len(job.tried) < self.settings.most_upstreams:
             if refusal := self.crash_guard.refusal(job):
                 return refusal
-            choice = await self.limit_gate.pass_through(job)
+            choice = await self.limit_gate.admit(job)
             if choice is None:
-                return self._nobody(job)
-            if not job.tried and (refusal := self._overloaded(job, choice)):
+                return self._no_upstream(job)
+            if not job.tried and (refusal := self._overload_refusal(job, choice)):
                 return refusal
-            result = await self._try(job, choice)
+            result = await self._attempt(job, choice)
             if result.end is AttemptEnd.DONE:
                 return None
-            if not self._may_go_on(job, result):
+            if not self._may_try_another(job, result):
                 break
-        return self._nobody(job)
+        return self._no_upstream(job)
 
     def _choose(self, job: Job) -> Choice | None:
         now = self.clock.now()
         return choose_upstream(self.pools, job.traits, job.tried, self.zone, now)
 
-    def _overloaded(self, job: Job, choice: Choice) -> Refusal | None:
+    def _overload_refusal(self, job: Job, choice: Choice) -> Refusal | None:
         """Return the refusal of a request that would come far too late, if any."""
         now = self.clock.now()
         overload = find_overload(self.pools, job.traits, choice, now)
@@ -237,7 +241,7 @@
             ResultCode.OVERLOADED, detail, retry_after_s=overload.retry_after_s
         )
 
-    async def _try(self, job: Job, choice: Choice) -> AttemptResult:
+    async def _attempt(self, job: Job, choice: Choice) -> AttemptResult:
         view = choice.view
         job.tried.add(view.id)
         view.rate_limit.take(self.clock.now())
@@ -252,15 +256,17 @@
             codec=self.codec,
             clock=self.clock,
             remaining_s=remaining_s,
-            most_idle_s=self._most_idle_s(job),
-            silence_s=self._silence_s(job, choice, remaining_s),
+            max_idle_s=self._max_idle_s(job),
+            head_timeout_s=self._head_timeout_s(job, choice, remaining_s),
             note_prompt=self.pools.note_prompt,
             record_rate_limit=self.pools.rate_limits.record,
             model=self.pools.model(job.resolution.pool.id),
-            event_silence_s=self._event_silence_s(job),
+            event_timeout_s=self._event_timeout_s(job),
             pause_sensitive=job.traits.pause_sensitive,
         )
-        self.account.placed(job, choice, expected_s(self.pools, job.traits, choice))
+        self.telemetry.record_placement(
+            job, choice, expected_s(self.pools, job.traits, choice)
+        )
         job.runs += 1  # until it is known better, should this be cut short
         sent_at = self.clock.now()
         result = await attempt.run()
@@ -270,21 +276,21 @@
             view.rate_limit.refund()
         else:
             job.arrivals += 1
-        self._judge(choice, result)
+        self._record_verdict(choice, result)
         ended = await self.crash_guard.record(job, choice, result)
-        self.account.attempted(job, choice, result, sent_at, ended)
-        self._note_pace(job, choice, sent_at)
+        self.telemetry.record_attempt(job, choice, result, sent_at, ended)
+        self._record_pace(job, choice, sent_at)
         if result.end is not AttemptEnd.DONE:
             job.detail = result.detail
         return result
 
-    def _note_pace(self, job: Job, choice: Choice, sent_at: float) -> None:
-        first_at = job.delivery.first_at
-        if job.request.prompt is None or first_at is None:
+    def _record_pace(self, job: Job, choice: Choice, sent_at: float) -> None:
+        first_sent_at = job.delivery.first_sent_at
+        if job.request.prompt is None or first_sent_at is None:
             return
-        if first_at >= sent_at:  # else an earlier attempt brought the first event
+        if first_sent_at >= sent_at:  # else an earlier attempt brought the first event
             pool = job.resolution.pool.id
-            seen_s = first_at - sent_at
+            seen_s = first_sent_at - sent_at
             self.pools.wait_calibration(pool).record(
                 job.resolution.rank, choice.wait_s, seen_s
             )
@@ -293,7 +299,7 @@
                     choice.uncached_tokens, seen_s
                 )
 
-    def _most_idle_s(self, job: Job) -> float:
+    def _max_idle_s(self, job: Job) -> float:
         """Return how long a connection may have been idle for this request.
 
         On one that the upstream closed meanwhile a request is lost, and it
@@ -303,24 +309,26 @@
             return float("inf")
         return self.settings.once_idle_ms / 1000
 
-    def _silence_s(self, job: Job, choice: Choice, remaining_s: float) -> float | None:
+    def _head_timeout_s(
+        self, job: Job, choice: Choice, remaining_s: float
+    ) -> float | None:
         """Return how long to wait for the head of a reply, if another may try."""
         if not self._may_run_again(job):
             return None
         route = job.resolution.route
-        limit_s = SILENCE_TARGETS * route.target_s
+        limit_s = HEAD_TIMEOUT_TARGETS * route.target_s
         if route.response_mode is ResponseMode.EVENT_STREAM:
             limit_s = max(
-                STREAM_SILENCE_TARGETS * route.target_s,
-                SILENCE_WAITS * expected_s(self.pools, job.traits, choice),
+                STREAM_HEAD_TIMEOUT_TARGETS * route.target_s,
+                STREAM_HEAD_TIMEOUT_WAITS * expected_s(self.pools, job.traits, choice),
             )
-        return min(remaining_s * SILENCE_SHARE, limit_s)
+        return min(remaining_s * HEAD_TIMEOUT_FRACTION, limit_s)
 
-    def _event_silence_s(self, job: Job) -> float | None:
+    def _event_timeout_s(self, job: Job) -> float | None:
         """Return how long to wait for the next event, if another may go on."""
         if not self._may_run_again(job):
             return None
-        return SILENCE_PAUSES * job.resolution.route.max_pause_s or None
+        return EVENT_TIMEOUT_PAUSES * job.resolution.route.max_pause_s or None
 
     def _may_run_again(self, job: Job) -> bool:
         """Tell whether the next attempt need not be the last."""
@@ -333,33 +341,33 @@
             return route.resumable
         return route.retryable
 
-    def _may_go_on(self, job: Job, result: AttemptResult) -> bool:
+    def _may_try_another(self, job: Job, result: AttemptResult) -> bool:
         """Tell whether another upstream may be tried after this end."""
         if result.end is AttemptEnd.FAILED:
             job.last_failed = result
-        if job.deadline - self.clock.now() < LEAST_REMAINING_S:
+        if job.deadline - self.clock.now() < MIN_REMAINING_S:
             return False
         if result.end is AttemptEnd.NOT_SENT:
             return True
         if result.end is AttemptEnd.NOT_RUN:
-            return self._spend(job)
+            return self._spend_retry(job)
         if not self._is_retryable(job) or job.runs >= job.resolution.route.max_runs:
             return False
-        if not self._spend(job):
+        if not self._spend_retry(job):
             return False
         job.delivery.joiner.resume()
         return True
 
-    def _spend(self, job: Job) -> bool:
+    def _spend_retry(self, job: Job) -> bool:
         """Take one repeat from the budget; False, and a log line, if spent."""
         pool = job.resolution.pool.id
         if not self.budgets.spend(pool):
-            self.account.budget_spent(job, self.budgets.instances)
+            self.telemetry.record_budget_spent(job, self.budgets.instances)
             return False
         self.metrics.retries.inc({"pool": pool})
         return True
 
-    def _judge(self, choice: Choice, result: AttemptResult) -> None:
+    def _record_verdict(self, choice: Choice, result: AttemptResult) -> None:
         """Let the end of an attempt count for its upstream's health."""
         if result.end is AttemptEnd.DONE:
             verdict = Verdict.GOOD
@@ -372,7 +380,7 @@
             verdict = Verdict.FAILED
         self.pools.record_outcome(choice.view, verdict)
 
-    def _nobody(self, job: Job) -> Refusal:
+    def _no_upstream(self, job: Job) -> Refusal:
         refusal = refusal_without_upstream(self.pools, job)
         if refusal.code is ResultCode.UPSTREAMS_LIMITED:
             record_decision(self.pools, job.traits, False, self.clock.now())
@@ -383,7 +391,7 @@
     ) -> None:
         """Send the final answer of a request that is not served."""
         status = refusal.code.status
-        if refusal.run is not Run.NO and status in PROMISES_NOT_RUN:
+        if refusal.run is not Run.NO and status in NOT_RUN_STATUSES:
             status = BAD_GATEWAY
         headers = [(b"Content-Type", b"application/json")]
         if refusal.run is Run.NO and refusal.retry_after_s is not None:
@@ -393,5 +401,5 @@
             "message": refusal.code.meaning,
             "run": refusal.run.value,
         }
-        self.account.refused(request_id, job, refusal, status)
+        self.telemetry.record_refusal(request_id, job, refusal, status)
         await answer.whole(status, headers, json.dumps(body).encode())
--- a/packages/buckthornwall/src/buckthornwall/forwarding/limit_gate.py
+++ b/packages/buckthornwall/src/buckthornwall/forwarding/limit_gate.py
@@ -36,7 +36,7 @@
         self.clock = clock
         self.choose = choose
 
-    async def pass_through(self, job: Job) -> Choice | None:
+    async def admit(self, job: Job) -> Choice | None:
         """Return where a request goes, once a token is there; None if none comes soon.
 
         Repeats do not wait: their callers have waited already.
@@ -47,11 +47,11 @@
         queue.record_arrival(rank, self.clock.now())
         if job.tried or not self.pools.is_limited(pool, regions):
             return self.choose(job)
-        if not queue.count_ahead(rank) and (choice := self._take(job)):
+        if not queue.count_ahead(rank) and (choice := self._try_choose(job)):
             return choice
         return await self._wait(job)
 
-    def _take(self, job: Job) -> Choice | None:
+    def _try_choose(self, job: Job) -> Choice | None:
         """Return where a request goes, if there is a token for its rank."""
         pool, rank = job.resolution.pool.id, job.resolution.rank
         queue = self.pools.limit_queue(pool)
@@ -64,12 +64,12 @@
         pool, rank = job.resolution.pool.id, job.resolution.rank
         queue = self.pools.limit_queue(pool)
         target_s = job.resolution.route.target_s
-        until = job.request.received_at + MAX_WAIT_TARGETS * target_s
-        if self.clock.now() + self._expected_wait_s(job) > until:
+        deadline = job.request.received_at + MAX_WAIT_TARGETS * target_s
+        if self.clock.now() + self._expected_wait_s(job) > deadline:
             return None
         with queue.join(rank) as place:
-            while self.clock.now() <= until:
-                if queue.is_next(place) and (choice := self._take(job)):
+            while self.clock.now() <= deadline:
+                if queue.is_next(place) and (choice := self._try_choose(job)):
                     queue.record_grant()
                     return choice
                 await trio.sleep(POLL_INTERVAL_S)
--- a/packages/buckthornwall/src/buckthornwall/forwarding/liveness.py
+++ b/packages/buckthornwall/src/buckthornwall/forwarding/liveness.py
@@ -10,7 +10,7 @@
 
 NEVER = float("-inf")
 # An upstream that has ended is not asked again for so many seconds.
-ENDED_LASTS_S = 0.3
+ENDED_CACHE_S = 0.3
 
 
 class LivenessChecks:
@@ -36,20 +36,20 @@
 
         A host that does not answer says nothing: it may be cut off.
         """
-        asked_at = self.clock.now()
+        requested_at = self.clock.now()
         async with self._locks.setdefault(entry.id, trio.Lock()):
             ended_at = self._ended_at.get(entry.id, NEVER)
-            if self.clock.now() - ended_at <= ENDED_LASTS_S:
+            if self.clock.now() - ended_at <= ENDED_CACHE_S:
                 return True
-            if self._alive_at.get(entry.id, NEVER) >= asked_at:
+            if self._alive_at.get(entry.id, NEVER) >= requested_at:
                 return False
             checked_at = self.clock.now()
-            ended = await self._refuses(entry.address)
+            ended = await self._refuses_connection(entry.address)
             checks = self._ended_at if ended else self._alive_at
             checks[entry.id] = checked_at
             return ended
 
-    async def _refuses(self, address: str) -> bool:
+    async def _refuses_connection(self, address: str) -> bool:
         try:
             connection = await ClientConnection.connect(address, self.connect_timeout_s)
         except ExchangeError as error:
--- a/packages/buckthornwall/src/buckthornwall/forwarding/no_upstream.py
+++ b/packages/buckthornwall/src/buckthornwall/forwarding/no_upstream.py
@@ -5,9 +5,9 @@
 
 from .job import Job
 
-__all__ = ["NO_ENGINE_RETRY_S", "refusal_without_upstream"]
+__all__ = ["NO_UPSTREAM_RETRY_S", "refusal_without_upstream"]
 
-NO_ENGINE_RETRY_S = 0.3
+NO_UPSTREAM_RETRY_S = 0.3
 # Where only operators or returning upstreams can change that no upstream is allowed.
 NONE_ALLOWED_RETRY_S = 1.0
 
@@ -18,17 +18,17 @@
         return Refusal(ResultCode.UPSTREAM_BROKEN, job.detail, job.run)
     if job.tried:
         code = ResultCode.UPSTREAM_UNREACHABLE
-        return Refusal(code, job.detail, retry_after_s=NO_ENGINE_RETRY_S)
+        return Refusal(code, job.detail, retry_after_s=NO_UPSTREAM_RETRY_S)
     pool, regions = job.resolution.pool.id, job.resolution.regions
     if not pools.has_ready_in(pool, regions):
-        return _none_allowed(ResultCode.REGIONS_WITHOUT_UPSTREAM)
+        return _none_allowed_refusal(ResultCode.REGIONS_WITHOUT_UPSTREAM)
     if pools.is_evacuated(pool, regions):
-        return _none_allowed(ResultCode.UPSTREAMS_EVACUATED)
+        return _none_allowed_refusal(ResultCode.UPSTREAMS_EVACUATED)
     if pools.is_limited(pool, regions):
         wait_s = retry_after_s(pools.limit_wait_s(pool, regions))
         return Refusal(ResultCode.UPSTREAMS_LIMITED, retry_after_s=wait_s)
-    return Refusal(ResultCode.NO_ENGINE, job.detail, retry_after_s=NO_ENGINE_RETRY_S)
+    return Refusal(ResultCode.NO_ENGINE, job.detail, retry_after_s=NO_UPSTREAM_RETRY_S)
 
 
-def _none_allowed(code: ResultCode) -> Refusal:
+def _none_allowed_refusal(code: ResultCode) -> Refusal:
     return Refusal(code, retry_after_s=NONE_ALLOWED_RETRY_S)
--- a/packages/buckthornwall/src/buckthornwall/forwarding/reply.py
+++ b/packages/buckthornwall/src/buckthornwall/forwarding/reply.py
@@ -9,7 +9,7 @@
 from buckthornwall.routing import RoutedRequest
 from buckthornwall.utils import TeamId
 
-__all__ = ["Reply", "Sending", "WireCodec"]
+__all__ = ["AttemptContext", "Reply", "WireCodec"]
 
 Headers = list[tuple[bytes, bytes]]
 
@@ -34,22 +34,22 @@
     misdirected: bool = False
     load: LoadReport | None = None
     rate_limit: float | None = None
-    idle_limit_s: float | None = None
-    closes: bool = False
+    idle_timeout_s: float | None = None
+    closes_connection: bool = False
 
     @property
-    def names_limit(self) -> bool:
+    def has_rate_limit(self) -> bool:
         """Whether the upstream takes only so many requests a second."""
         return self.rate_limit is not None and math.isfinite(self.rate_limit)
 
     @property
-    def good(self) -> bool:
+    def is_attested_success(self) -> bool:
         """Whether it is a success that the upstream signed."""
         return 200 <= self.status < 300 and self.attested
 
 
 @dataclass(frozen=True, slots=True)
-class Sending:
+class AttemptContext:
     """What the system adds to a request for one attempt.
 
     `copy_from` is the address of an engine that holds parts of the prompt, from
@@ -67,7 +67,7 @@
 class WireCodec(Protocol):
     """Translates between requests and the platform's headers."""
 
-    def encode(self, request: RoutedRequest, sending: Sending) -> Headers:
+    def encode(self, request: RoutedRequest, context: AttemptContext) -> Headers:
         """Return the headers that an upstream is sent."""
 
     def decode(self, head: ReplyHead) -> Reply:
--- a/packages/buckthornwall/src/buckthornwall/forwarding/account.py
+++ b/packages/buckthornwall/src/buckthornwall/forwarding/request_telemetry.py
@@ -12,10 +12,10 @@
 from .attempt import AttemptEnd, AttemptResult
 from .job import Job, Prediction
 
-__all__ = ["RequestAccount"]
+__all__ = ["RequestTelemetry"]
 
 
-class RequestAccount:
+class RequestTelemetry:
     """Writes the lines and counts of requests, each with what decided it.
 
     Parameters
@@ -32,7 +32,7 @@
         # Pairs of a line that tell what a request without a route was judged by.
         self.describe_freshness: Callable[[], dict[str, object]] = dict
 
-    def refused(
+    def record_refusal(
         self, request_id: str, job: Job | None, refusal: Refusal, status: int
     ) -> None:
         """Log and count an own answer; `job` is None if nothing was resolved."""
@@ -51,7 +51,7 @@
             **_describe_overload(job),
         )
 
-    def budget_spent(self, job: Job, instances: float) -> None:
+    def record_budget_spent(self, job: Job, instances: float) -> None:
         """Log that no repeat is left for a request."""
         log_event(
             "budget_spent",
@@ -67,7 +67,7 @@
         if job is None:
             return self.describe_freshness()
         now = self.clock.now()
-        first_at = job.delivery.first_at
+        first_at = job.delivery.first_sent_at
         choice = job.last_choice
         received_at = job.request.received_at
         return {
@@ -86,7 +86,7 @@
             "pause_ms": round(job.delivery.longest_pause_s * 1000),
         }
 
-    def placed(self, job: Job, choice: Choice, expected_s: float) -> None:
+    def record_placement(self, job: Job, choice: Choice, expected_s: float) -> None:
         """Log where an attempt goes, and what that was decided by."""
         view = choice.view
         job.prediction = Prediction(self.clock.now(), expected_s, choice.pause_s)
@@ -110,7 +110,7 @@
             remaining_ms=round((job.deadline - self.clock.now()) * 1000),
         )
 
-    def attempted(
+    def record_attempt(
         self,
         job: Job,
         choice: Choice,
@@ -135,7 +135,7 @@
             upstream_ended=upstream_ended,
             rank=job.resolution.rank,
             waited_ms=round((now - sent_at) * 1000),
-            upstream_quiet_ms=_quiet_ms(choice, now),
+            upstream_quiet_ms=_silent_ms(choice, now),
             busy_share=round(choice.busy_share, 2),
             remaining_ms=round((job.deadline - now) * 1000),
         )
@@ -151,22 +151,22 @@
         self.metrics.whole.add(
             tier | {"outcome": outcome}, self.clock.now() - received_at
         )
-        if delivery.first_at is not None:
-            self.metrics.first_token.add(tier, delivery.first_at - received_at)
-        if delivery.joiner.events > 1:
+        if delivery.first_sent_at is not None:
+            self.metrics.first_token.add(tier, delivery.first_sent_at - received_at)
+        if delivery.joiner.event_count > 1:
             self.metrics.pause.add(tier, delivery.longest_pause_s)
-            self._compare(job, tier)
+            self._record_prediction_errors(job, tier)
 
-    def _compare(self, job: Job, tier: dict[str, str]) -> None:
+    def _record_prediction_errors(self, job: Job, tier: dict[str, str]) -> None:
         """Count how far a stream of one attempt was from what was expected of it."""
         if len(job.tried) != 1 or job.prediction is None:
             return
-        seen_s = job.delivery.first_at - job.prediction.at
+        seen_s = job.delivery.first_sent_at - job.prediction.at
         self.metrics.first_error.add(tier, abs(seen_s - job.prediction.first_s))
         pause_s = job.delivery.longest_pause_s
         self.metrics.pause_error.add(tier, abs(pause_s - job.prediction.pause_s))
 
-    def finished(self, job: Job, outcome: str) -> None:
+    def record_end(self, job: Job, outcome: str) -> None:
         """Log and count the end of a request by an upstream's answer, or none."""
         self._count_end(job, outcome)
         log_event(
@@ -176,7 +176,7 @@
             outcome=outcome,
             status=job.delivery.status,
             detail=job.detail,
-            events=job.delivery.joiner.events,
+            events=job.delivery.joiner.event_count,
             **self._describe(job),
         )
 
@@ -196,7 +196,7 @@
     }
 
 
-def _quiet_ms(choice: Choice, now: float) -> int | str:
+def _silent_ms(choice: Choice, now: float) -> int | str:
     """Return since when this instance has had nothing from an upstream, or ''."""
     answered_at = choice.view.reachability.answered_at
     return "" if math.isinf(answered_at) else round((now - answered_at) * 1000)
--- a/packages/buckthornwall/src/buckthornwall/forwarding/tests/helpers.py
+++ b/packages/buckthornwall/src/buckthornwall/forwarding/tests/helpers.py
@@ -38,14 +38,14 @@
 class PlainCodec:
     """A codec of a few short names."""
 
-    def encode(self, request, sending):
+    def encode(self, request, context):
         headers = [
             (b"host", b"h"),
-            (b"x-left", b"%d" % (sending.remaining_s * 1000)),
+            (b"x-left", b"%d" % (context.remaining_s * 1000)),
             (b"content-length", b"%d" % len(request.body)),
         ]
-        if sending.resume_after:
-            headers.append((b"last-event-id", sending.resume_after.encode()))
+        if context.resume_after:
+            headers.append((b"last-event-id", context.resume_after.encode()))
         return headers
 
     def decode(self, head):
--- a/packages/buckthornwall/src/buckthornwall/forwarding/tests/test_connections.py
+++ b/packages/buckthornwall/src/buckthornwall/forwarding/tests/test_connections.py
@@ -27,7 +27,7 @@
 
     nursery.start_soon(receive)
     await trio.testing.wait_all_tasks_blocked()
-    cache.abandon(ENGINE)
+    cache.close_all(ENGINE)
     with trio.fail_after(1.0):
         await failed.wait()
 
--- a/packages/buckthornwall/src/buckthornwall/forwarding/tests/test_forwarder.py
+++ b/packages/buckthornwall/src/buckthornwall/forwarding/tests/test_forwarder.py
@@ -83,7 +83,7 @@
 
 
 async def test_a_failure_passes_even_when_no_time_is_left(forward, monkeypatch):
-    monkeypatch.setattr(forwarder, "LEAST_REMAINING_S", 60.0)
+    monkeypatch.setattr(forwarder, "MIN_REMAINING_S", 60.0)
     answer = await forward([whole(504, b"late")], [whole()])
     assert (answer.status, answer.body) == (504, b"late")
     assert forward.arrivals() == [1, 0]
--- a/packages/buckthornwall/src/buckthornwall/forwarding/tests/test_limit_gate.py
+++ b/packages/buckthornwall/src/buckthornwall/forwarding/tests/test_limit_gate.py
@@ -49,7 +49,7 @@
                 route=SimpleNamespace(target_s=target_s),
             ),
         )
-        choice = await self.gate.pass_through(job)
+        choice = await self.gate.admit(job)
         if choice is not None:
             self.sent.append(rank)
         return choice
--- a/packages/buckthornwall/src/buckthornwall/forwarding/tests/test_liveness.py
+++ b/packages/buckthornwall/src/buckthornwall/forwarding/tests/test_liveness.py
@@ -39,7 +39,7 @@
         asked.append(address)
         return True
 
-    monkeypatch.setattr(checks, "_refuses", refuses)
+    monkeypatch.setattr(checks, "_refuses_connection", refuses)
     for _ in range(5):
         nursery.start_soon(checks.has_ended, entry("127.0.0.1:1"))
     assert await checks.has_ended(entry("127.0.0.1:1"))
--- a/packages/buckthornwall/src/buckthornwall/platform/codec.py
+++ b/packages/buckthornwall/src/buckthornwall/platform/codec.py
@@ -3,7 +3,7 @@
 import math
 
 from buckthornwall.codes import Refusal, ResultCode
-from buckthornwall.forwarding import Reply, Sending
+from buckthornwall.forwarding import AttemptContext, Reply
 from buckthornwall.http1 import IncomingRequest, ReplyHead
 from buckthornwall.pools import LoadReport
 from buckthornwall.routing import PromptSegment, PromptShape, RoutedRequest
@@ -106,22 +106,22 @@
 class PlatformCodec:
     """The headers that upstreams are sent, and those that they reply with."""
 
-    def encode(self, request: RoutedRequest, sending: Sending) -> Headers:
+    def encode(self, request: RoutedRequest, context: AttemptContext) -> Headers:
         """Return the headers of one attempt."""
         headers = list(request.headers)
-        remaining_ms = max(1, int(sending.remaining_s * MS_PER_S))
+        remaining_ms = max(1, int(context.remaining_s * MS_PER_S))
         headers.append((names.DEADLINE, b"%d" % remaining_ms))
-        headers.append((names.EXPECT_INSTANCE, sending.upstream.id.encode("latin-1")))
-        if sending.team:
-            headers.append((names.TEAM, sending.team.encode("latin-1")))
+        headers.append((names.EXPECT_INSTANCE, context.upstream.id.encode("latin-1")))
+        if context.team:
+            headers.append((names.TEAM, context.team.encode("latin-1")))
         if request.prompt is not None:
-            priority = min(sending.rank, LOWEST_PRIORITY)
+            priority = min(context.rank, LOWEST_PRIORITY)
             headers.append((names.PRIORITY, b"%d" % priority))
-        if sending.copy_from:
-            headers.append((names.COPY_FROM, sending.copy_from.encode("latin-1")))
-        if sending.resume_after:
+        if context.copy_from:
+            headers.append((names.COPY_FROM, context.copy_from.encode("latin-1")))
+        if context.resume_after:
             headers.append(
-                (names.LAST_EVENT_ID, sending.resume_after.encode("latin-1"))
+                (names.LAST_EVENT_ID, context.resume_after.encode("latin-1"))
             )
         if request.body or request.method not in (b"GET", b"HEAD", b"DELETE"):
             headers.append((b"content-length", b"%d" % len(request.body)))
@@ -140,8 +140,8 @@
             misdirected=misdirected,
             load=_load(found.get(names.LOAD)),
             rate_limit=_rate_limit(found.get(names.RATE_LIMIT)),
-            idle_limit_s=_idle_limit(found.get(b"keep-alive", b"")),
-            closes=b"close" in found.get(b"connection", b"").lower(),
+            idle_timeout_s=_idle_timeout(found.get(b"keep-alive", b"")),
+            closes_connection=b"close" in found.get(b"connection", b"").lower(),
         )
 
     def _to_caller(self, headers: Headers) -> Headers:
@@ -173,7 +173,7 @@
     return limit if 0 <= limit < math.inf else None
 
 
-def _idle_limit(value: bytes) -> float | None:
+def _idle_timeout(value: bytes) -> float | None:
     for part in value.lower().split(b","):
         name, _, seconds = part.strip().partition(b"=")
         if name == b"timeout" and seconds.isdigit():
--- a/packages/buckthornwall/src/buckthornwall/platform/tests/test_wire.py
+++ b/packages/buckthornwall/src/buckthornwall/platform/tests/test_wire.py
@@ -5,7 +5,7 @@
 import pytest
 
 from buckthornwall.codes import RecordError, Refusal
-from buckthornwall.forwarding import Sending
+from buckthornwall.forwarding import AttemptContext
 from buckthornwall.http1 import IncomingRequest, ReplyHead
 from buckthornwall.platform import PlatformCodec, decode_published, decode_request
 from buckthornwall.pools import LoadReport, UpstreamEntry, UpstreamState
@@ -24,8 +24,8 @@
 
 
 def encoded(request, **changes):
-    sending = {"upstream": ENTRY, "team": TeamId("t"), "rank": 4, "remaining_s": 1.25}
-    return dict(PlatformCodec().encode(request, Sending(**(sending | changes))))
+    context = {"upstream": ENTRY, "team": TeamId("t"), "rank": 4, "remaining_s": 1.25}
+    return dict(PlatformCodec().encode(request, AttemptContext(**(context | changes))))
 
 
 def test_a_request_is_read_into_the_products_words():
@@ -119,10 +119,10 @@
 )
 def test_only_what_the_pages_name_says_not_run(status, headers, not_run, good):
     reply = PlatformCodec().decode(ReplyHead(status, headers))
-    assert (reply.not_run, reply.good) == (not_run, good)
+    assert (reply.not_run, reply.is_attested_success) == (not_run, good)
 
 
-def test_load_and_idle_limit_are_read():
+def test_load_and_idle_timeout_are_read():
     head = ReplyHead(
         200,
         [
@@ -133,7 +133,7 @@
     )
     reply = PlatformCodec().decode(head)
     assert reply.load == LoadReport(3, 1, 8)
-    assert reply.idle_limit_s == 5.0
+    assert reply.idle_timeout_s == 5.0
     assert all(name != b"keep-alive" for name, _ in reply.headers)
 
 
--- a/packages/buckthornwall/src/buckthornwall/router/core.py
+++ b/packages/buckthornwall/src/buckthornwall/router/core.py
@@ -126,11 +126,11 @@
         self.discovery.may_read = self.state_sync.may_read
         self.discovery.on_change = self._update_adopted
         self.discovery.on_gone = self.forwarder.forget_upstream
-        self.discovery.on_restart = self.forwarder.connections.abandon
+        self.discovery.on_restart = self.forwarder.connections.close_all
         self.discovery.on_call = self._count_store_call
         self.peer_agent.on_work = self._apply_peer_work
         self.peer_agent.on_cached_prefixes = self.pools.receive_cached_prefixes
-        self.forwarder.account.describe_freshness = self.state_sync.describe_freshness
+        self.forwarder.telemetry.describe_freshness = self.state_sync.describe_freshness
 
     @classmethod
     def from_config(cls, settings: RouterSettings) -> "Router":
@@ -257,10 +257,10 @@
         try:
             request = decode_request(incoming)
         except Refusal as refusal:
-            await self.forwarder.refuse_unread(answer, refusal)
+            await self.forwarder.refuse_unreadable(answer, refusal)
             return
         if self.refusing:
-            await self.forwarder.refuse_leaving(request, answer)
+            await self.forwarder.refuse_draining(request, answer)
             return
         if not self.table.number:
             with trio.move_on_after(FIRST_VERSION_S):
