--- a/packages/buckthornwall/src/buckthornwall/peers/agent.py
+++ b/packages/buckthornwall/src/buckthornwall/peers/agent.py
@@ -138,7 +138,7 @@
             settings.silence_ms / MS_PER_S,
             settings.stagger_ms / MS_PER_S,
         )
-        self.crashes = CrashExchange(quarantine)
+        self.crash_exchange = CrashExchange(quarantine)
         self.on_work: Callable[[], None] = lambda: None
         self.on_cached_prefixes: Callable[[CachedPrefixes], None] = (
             lambda cached_prefixes: None
@@ -172,40 +172,44 @@
     async def send_reports(self) -> None:
         """Tell the speaker, or as the speaker everyone, once."""
         now = self.clock.now()
-        own = self.make_beacon()
+        local_beacon = self.make_beacon()
         speaker = self.table.speaker_address(now)
         await self._send_crash_reports(speaker, now)
-        if own.state is PeerState.LEAVING:
-            await self._announce_departure(own, speaker, now)
+        if local_beacon.state is PeerState.LEAVING:
+            await self._announce_departure(local_beacon, speaker, now)
             return
         self._note_role(speaker is None, speaker)
         if speaker is not None:
-            self.table.reported_work = own.loads
-            await self._send(encode(own), speaker)
+            self.table.reported_work = local_beacon.loads
+            await self._send(encode(local_beacon), speaker)
             return
-        await self._send_speaker_reports(own, now)
+        await self._send_speaker_reports(local_beacon, now)
         self.on_work()
 
     async def _send_crash_reports(self, speaker: str | None, now: float) -> None:
         """Tell what is new of requests that crash upstreams."""
-        for address, reports in self.crashes.due(
+        for address, reports in self.crash_exchange.due(
             self._report_addresses(speaker, now), now
         ):
             message = CrashReports(self.settings.listen, reports)
             await self._send(encode(message), address)
 
-    async def _send_speaker_reports(self, own: Beacon, now: float) -> None:
+    async def _send_speaker_reports(self, local_beacon: Beacon, now: float) -> None:
         """Tell other speakers of this zone, and members of the fleet, what is due."""
         others = list(self.table.other_speakers().values())
-        await self._send_due_report(self.speaker_recipients, own, others, now)
+        await self._send_due_report(self.speaker_recipients, local_beacon, others, now)
         members = self.table.member_addresses(now)
-        await self._send_due_report(self.member_recipients, own, members, now)
+        await self._send_due_report(self.member_recipients, local_beacon, members, now)
         self.table.prefixes.set_interval(
             self.member_recipients.pacing.max_counts_age_s(now)
         )
 
     async def _send_due_report(
-        self, recipients: RecipientGroup, own: Beacon, addresses: list[str], now: float
+        self,
+        recipients: RecipientGroup,
+        local_beacon: Beacon,
+        addresses: list[str],
+        now: float,
     ) -> None:
         kind = recipients.pacing.due(now) if addresses else None
         new_recipients = recipients.new_recipients(addresses)
@@ -214,28 +218,28 @@
                 await self._send(recipients.last_digest, address)
         if kind is None:
             return
-        data = encode(self._make_report(kind, own, recipients.is_fleet, now))
+        data = encode(self._make_report(kind, local_beacon, recipients.is_fleet, now))
         recipients.record_sent(kind, data, addresses, now)
         for address in addresses:
             await self._send(data, address)
 
     def _make_report(
-        self, kind: ReportKind, own: Beacon, is_fleet: bool, now: float
+        self, kind: ReportKind, local_beacon: Beacon, is_fleet: bool, now: float
     ) -> Digest | Heartbeat:
         if kind is ReportKind.DIGEST:
-            digest = self.table.make_digest(own, is_fleet, now)
-            self.table.number(digest)
+            digest = self.table.make_digest(local_beacon, is_fleet, now)
+            self.table.assign_sequence(digest)
             return digest
-        heartbeat = self.table.make_heartbeat(own, is_fleet, now)
+        heartbeat = self.table.make_heartbeat(local_beacon, is_fleet, now)
         if kind is ReportKind.COUNTS:
-            self.table.add_counts(heartbeat, own, now)
+            self.table.add_counts(heartbeat, local_beacon, now)
         return heartbeat
 
     async def _announce_departure(
-        self, own: Beacon, speaker: str | None, now: float
+        self, local_beacon: Beacon, speaker: str | None, now: float
     ) -> None:
         """Tell who counts this instance that it leaves, and speak no more."""
-        data = encode(own)
+        data = encode(local_beacon)
         for address in self._report_addresses(speaker, now):
             await self._send(data, address)
 
@@ -296,7 +300,7 @@
             return
         if isinstance(message, CrashReports):
             for report in message.reports:
-                self.crashes.table.receive(report, now)
+                self.crash_exchange.table.receive(report, now)
             return
         self.on_cached_prefixes(message.cached_prefixes)
         if isinstance(message, Digest):
@@ -319,7 +323,9 @@
 
     def _note_checksum(self, message: Beacon | Digest | Heartbeat, now: float) -> None:
         if message.address != self.settings.listen:  # its own may be passed on to it
-            self.crashes.note_checksum(message.address, message.crash_checksum, now)
+            self.crash_exchange.note_checksum(
+                message.address, message.crash_checksum, now
+            )
 
     async def _handle_beacon(self, beacon: Beacon, now: float) -> None:
         if self.table.receive_beacon(beacon, now):
@@ -333,8 +339,8 @@
             await self.speaker_lookup.redirect(beacon.address, now)
 
     async def _handle_digest(self, digest: Digest, now: float) -> None:
-        is_own_zone = digest.zone == self.table.zone
-        if is_own_zone and digest.is_pointer and self.table.is_speaker(now):
+        is_local_zone = digest.zone == self.table.zone
+        if is_local_zone and digest.is_pointer and self.table.is_speaker(now):
             # A pointer is not the word of whom it names: taken for that, it would
             # make a speaker fall silent.
             await self.speaker_lookup.request_speaker(digest.address)
@@ -342,7 +348,7 @@
         self.table.receive_digest(digest, now)
         if not digest.is_pointer:
             self._note_checksum(digest, now)
-        if is_own_zone and self.table.is_outranked(digest, now):
+        if is_local_zone and self.table.is_outranked(digest, now):
             await self.speaker_lookup.redirect(digest.address, now)
-        elif is_own_zone and digest.is_fleet:
+        elif is_local_zone and digest.is_fleet:
             self.on_work()
--- a/packages/buckthornwall/src/buckthornwall/peers/aggregation.py
+++ b/packages/buckthornwall/src/buckthornwall/peers/aggregation.py
@@ -42,8 +42,8 @@
 
 
 def merge_limits(
-    own: Beacon, heard: Iterable[ReceivedMessage], now: float
+    local_beacon: Beacon, received: Iterable[ReceivedMessage], now: float
 ) -> LimitReports:
     """Return the newest report on each upstream that names a limit."""
-    reports = [(each.message.limits, now - each.sent_at) for each in heard]
-    return merge_limit_reports([(own.limits, 0.0), *reports])
+    reports = [(each.message.limits, now - each.sent_at) for each in received]
+    return merge_limit_reports([(local_beacon.limits, 0.0), *reports])
--- a/packages/buckthornwall/src/buckthornwall/peers/counts.py
+++ b/packages/buckthornwall/src/buckthornwall/peers/counts.py
@@ -25,13 +25,13 @@
 
     def __init__(self) -> None:
         self._sequence = random.getrandbits(32)
-        self._names: dict[bool, tuple[int, list[UpstreamId]]] = {}
+        self._upstreams: dict[bool, tuple[int, list[UpstreamId]]] = {}
 
-    def number(self, digest: Digest) -> None:
+    def assign_sequence(self, digest: Digest) -> None:
         """Give a digest its number, so that counts may name its upstreams."""
         self._sequence += 1
         digest.sequence = self._sequence
-        self._names[digest.is_fleet] = (self._sequence, list(digest.loads))
+        self._upstreams[digest.is_fleet] = (self._sequence, list(digest.loads))
 
     def fill(
         self,
@@ -40,18 +40,18 @@
         cached_prefixes: CachedPrefixes,
     ) -> None:
         """Put work and parts into a heartbeat, after a digest that was numbered."""
-        heartbeat.sequence, names = self._names[heartbeat.is_fleet]
-        heartbeat.counts = pack_loads(loads, names)
+        heartbeat.sequence, upstreams = self._upstreams[heartbeat.is_fleet]
+        heartbeat.packed_work = pack_loads(loads, upstreams)
         heartbeat.loads = {
-            upstream: loads[upstream] for upstream in loads.keys() - set(names)
+            upstream: loads[upstream] for upstream in loads.keys() - set(upstreams)
         }
-        heartbeat.parts, heartbeat.cached_prefixes = pack_cached_prefixes(
-            cached_prefixes, names
+        heartbeat.packed_prefixes, heartbeat.cached_prefixes = pack_cached_prefixes(
+            cached_prefixes, upstreams
         )
 
 
 def read_counts(
-    heartbeat: Heartbeat, digest: Digest, names: list[UpstreamId]
+    heartbeat: Heartbeat, digest: Digest, upstreams: list[UpstreamId]
 ) -> tuple[dict[UpstreamId, Work], CachedPrefixes] | None:
     """Return the work and the parts that a heartbeat tells.
 
@@ -59,7 +59,7 @@
     ----------
     heartbeat
         What its sender told after a digest.
-    digest, names
+    digest, upstreams
         The digest of it that is known here, and its upstreams in order.
 
     Returns
@@ -74,6 +74,8 @@
     """
     if not heartbeat.sequence or heartbeat.sequence != digest.sequence:
         return None
-    cached_prefixes = unpack_cached_prefixes(heartbeat.parts, names)
+    cached_prefixes = unpack_cached_prefixes(heartbeat.packed_prefixes, upstreams)
     merge_cached_prefixes(cached_prefixes, heartbeat.cached_prefixes)
-    return unpack_loads(heartbeat.counts, names) | heartbeat.loads, cached_prefixes
+    return unpack_loads(
+        heartbeat.packed_work, upstreams
+    ) | heartbeat.loads, cached_prefixes
--- a/packages/buckthornwall/src/buckthornwall/peers/crash_exchange.py
+++ b/packages/buckthornwall/src/buckthornwall/peers/crash_exchange.py
@@ -14,20 +14,20 @@
 
 # A datagram of so many reports fits a packet of 1,400 bytes, and ten a second the bytes
 # that an instance may receive.
-MOST_REPORTS = 32
+MAX_REPORTS = 32
 # Changes reach the others within so many seconds, unless they are lost.
-SETTLE_S = 0.6
+PROPAGATION_S = 0.6
 # Between two complete transfers to one instance: at first, and at most.
-FIRST_PAUSE_S = 1.0
-LONGEST_PAUSE_S = 30.0
+MIN_RESYNC_INTERVAL_S = 1.0
+MAX_RESYNC_INTERVAL_S = 30.0
 
 
 @dataclass(slots=True)
-class _PendingSync:
+class _PendingResync:
     """A complete transfer to an instance that knows something else; in seconds."""
 
-    sync_at: float
-    pause_s: float = FIRST_PAUSE_S
+    due_at: float
+    interval_s: float = MIN_RESYNC_INTERVAL_S
 
 
 class CrashExchange:
@@ -47,7 +47,7 @@
     def __init__(self, table: QuarantineTable) -> None:
         self.table = table
         self.was_in_sync = False
-        self._pending: dict[str, _PendingSync] = {}
+        self._pending: dict[str, _PendingResync] = {}
 
     def note_checksum(self, address: str, checksum: int, now: float) -> None:
         """Compare what another instance knows with what is known here."""
@@ -56,8 +56,8 @@
             self._pending.pop(address, None)
         elif address not in self._pending:
             knows_nothing = checksum == 0
-            wait_s = 0.0 if knows_nothing else SETTLE_S
-            self._pending[address] = _PendingSync(now + wait_s)
+            wait_s = 0.0 if knows_nothing else PROPAGATION_S
+            self._pending[address] = _PendingResync(now + wait_s)
 
     def due(
         self, addresses: list[str], now: float
@@ -73,9 +73,9 @@
         """
         if not addresses:
             return []
-        changed = self.table.take_changed(MOST_REPORTS, now)
+        changed = self.table.take_changed(MAX_REPORTS, now)
         if changed:
-            self._await_changes(now)
+            self._delay_resyncs(now)
             return [(address, changed) for address in addresses]
         self._pending = {
             address: sync
@@ -84,23 +84,23 @@
         }
         messages = []
         for address, sync in self._pending.items():
-            if now >= sync.sync_at:
-                self._postpone(sync, now)
-                messages += [(address, part) for part in self._parts(now)]
+            if now >= sync.due_at:
+                self._back_off(sync, now)
+                messages += [(address, part) for part in self._batches(now)]
         return messages
 
-    def _await_changes(self, now: float) -> None:
+    def _delay_resyncs(self, now: float) -> None:
         """Let a change reach the others before their checksums count."""
         for sync in self._pending.values():
-            sync.sync_at = max(sync.sync_at, now + SETTLE_S)
+            sync.due_at = max(sync.due_at, now + PROPAGATION_S)
 
-    def _postpone(self, sync: _PendingSync, now: float) -> None:
-        sync.sync_at = now + sync.pause_s
-        sync.pause_s = min(LONGEST_PAUSE_S, 2 * sync.pause_s)
+    def _back_off(self, sync: _PendingResync, now: float) -> None:
+        sync.due_at = now + sync.interval_s
+        sync.interval_s = min(MAX_RESYNC_INTERVAL_S, 2 * sync.interval_s)
 
-    def _parts(self, now: float) -> list[list[CrashReport]]:
+    def _batches(self, now: float) -> list[list[CrashReport]]:
         reports = self.table.reports(now)
         return [
-            reports[first : first + MOST_REPORTS]
-            for first in range(0, len(reports), MOST_REPORTS)
+            reports[first : first + MAX_REPORTS]
+            for first in range(0, len(reports), MAX_REPORTS)
         ]
--- a/packages/buckthornwall/src/buckthornwall/peers/election.py
+++ b/packages/buckthornwall/src/buckthornwall/peers/election.py
@@ -8,7 +8,7 @@
 __all__ = ["election_priority", "sender_priority"]
 
 # Addresses whose hashes are kept: those of a fleet of the size to come, twice over.
-KEPT_HASHES = 700
+HASH_CACHE_SIZE = 700
 
 
 def election_priority(address: str, weight: float) -> tuple[float, bytes]:
@@ -21,6 +21,6 @@
     return election_priority(digest.address, digest.weight)
 
 
-@lru_cache(KEPT_HASHES)
+@lru_cache(HASH_CACHE_SIZE)
 def _hash(address: str) -> bytes:
     return blake2b(address.encode(), digest_size=8).digest()
--- a/packages/buckthornwall/src/buckthornwall/peers/freshness.py
+++ b/packages/buckthornwall/src/buckthornwall/peers/freshness.py
@@ -8,15 +8,15 @@
 MS_PER_S = 1000.0
 
 
-def merge_newer_revision(known: Digest | Heartbeat, told: Digest | Heartbeat) -> None:
+def merge_newer_revision(known: Digest | Heartbeat, newer: Digest | Heartbeat) -> None:
     """Put what is newest, and who has it, into what is known."""
-    if (told.number, told.change_revision) > (known.number, known.change_revision):
-        known.number = told.number
-        known.change_revision = told.change_revision
-        known.freshest_peer = told.freshest_peer
+    if (newer.number, newer.change_revision) > (known.number, known.change_revision):
+        known.number = newer.number
+        known.change_revision = newer.change_revision
+        known.freshest_peer = newer.freshest_peer
 
 
 def merge_read_age(heartbeat: Heartbeat, received: ReceivedMessage, now: float) -> None:
     """Let a reading of the store count that another instance told of."""
-    told_ms = received.message.read_age_ms + int((now - received.sent_at) * MS_PER_S)
-    heartbeat.read_age_ms = min(heartbeat.read_age_ms, told_ms)
+    age_ms = received.message.read_age_ms + int((now - received.sent_at) * MS_PER_S)
+    heartbeat.read_age_ms = min(heartbeat.read_age_ms, age_ms)
--- a/packages/buckthornwall/src/buckthornwall/peers/messages.py
+++ b/packages/buckthornwall/src/buckthornwall/peers/messages.py
@@ -34,13 +34,13 @@
 ]
 
 # Shorter messages get no shorter.
-LEAST_COMPRESSED_BYTES = 200
+MIN_COMPRESSED_BYTES = 200
 # A compressed message begins with this byte, which no array in CBOR does.
-COMPRESSED = b"\x78"
+ZLIB_FIRST_BYTE = b"\x78"
 # No view is longer, in bytes, and no datagram: a view holds a whole configuration, and
 # instances have 128 MB in all. A datagram of 64 KB may stand for a thousand times that.
-MOST_VIEW_BYTES = 16 * 2**20
-MOST_DATAGRAM_BYTES = 2**20
+MAX_VIEW_BYTES = 16 * 2**20
+MAX_DATAGRAM_BYTES = 2**20
 
 
 class Work(msgspec.Struct, array_like=True, frozen=True):
@@ -153,7 +153,7 @@
 
     The fields are those of its digests; `number` and what follows are over the fleet
     if `is_fleet`, else over its zone. Unless `sequence` is 0, it also tells the work
-    at upstreams and the parts sent there: `counts` and `parts` are packed
+    at upstreams and the parts sent there: `packed_work` and `packed_prefixes` are packed
     (`buckthornwall.peers.packing`), by the places of upstreams in the digest of that
     sequence; `loads` and `cached_prefixes` are those that its places do not name, and
     `unreachable`, `crash_checksum` and `limits` are as in a digest.
@@ -169,8 +169,8 @@
     read_age_ms: int
     store_uptime_ms: int
     sequence: int = 0
-    counts: bytes = b""
-    parts: bytes = b""
+    packed_work: bytes = b""
+    packed_prefixes: bytes = b""
     loads: dict[UpstreamId, Work] = {}
     cached_prefixes: CachedPrefixes = {}
     unreachable: Unreachable = {}
@@ -206,10 +206,10 @@
 def encode(message: PeerMessage | PeerView) -> bytes:
     """Return a message as bytes, compressed unless it is short."""
     data = cbor2.dumps(msgspec.to_builtins(message, builtin_types=(bytes,)))
-    return data if len(data) < LEAST_COMPRESSED_BYTES else zlib.compress(data)
+    return data if len(data) < MIN_COMPRESSED_BYTES else zlib.compress(data)
 
 
-def decode(data: bytes, form: type) -> PeerMessage | PeerView:
+def decode(data: bytes, message_type: type) -> PeerMessage | PeerView:
     """Return the message that `data` holds.
 
     Raises
@@ -218,9 +218,9 @@
         PEER_MESSAGE if it is not such a message.
     """
     try:
-        most = MOST_VIEW_BYTES if form is PeerView else MOST_DATAGRAM_BYTES
-        plain = _decompress(data, most) if data[:1] == COMPRESSED else data
-        return msgspec.convert(cbor2.loads(plain), form, builtin_types=(bytes,))
+        max_bytes = MAX_VIEW_BYTES if message_type is PeerView else MAX_DATAGRAM_BYTES
+        plain = _decompress(data, max_bytes) if data[:1] == ZLIB_FIRST_BYTE else data
+        return msgspec.convert(cbor2.loads(plain), message_type, builtin_types=(bytes,))
     except (
         cbor2.CBORError,
         msgspec.ValidationError,
@@ -231,10 +231,10 @@
         raise PeerError(ResultCode.PEER_MESSAGE, str(error)) from error
 
 
-def _decompress(data: bytes, most: int) -> bytes:
+def _decompress(data: bytes, max_bytes: int) -> bytes:
     """Return what was compressed, if it is no longer than so many bytes."""
     reader = zlib.decompressobj()
-    plain = reader.decompress(data, most)
+    plain = reader.decompress(data, max_bytes)
     if not reader.eof:
         raise PeerError(ResultCode.PEER_MESSAGE, "cut short, or too long")
     return plain
--- a/packages/buckthornwall/src/buckthornwall/peers/packing.py
+++ b/packages/buckthornwall/src/buckthornwall/peers/packing.py
@@ -45,7 +45,7 @@
     names
         The list, as whoever reads this has it.
     """
-    works = [loads.get(name, NOTHING) for name in names]
+    works = [loads.get(name, NO_WORK) for name in names]
     ranks = sorted(
         {rank for work in works for rank in (*work.pending_prefill, *work.oldest_ms)}
     )
@@ -180,7 +180,7 @@
             raise PeerError(ResultCode.PEER_MESSAGE, "bytes behind the counts")
 
 
-NOTHING = Work()
+NO_WORK = Work()
 
 
 def _units(value: int, unit: int) -> int:
--- a/packages/buckthornwall/src/buckthornwall/peers/prefix_relay.py
+++ b/packages/buckthornwall/src/buckthornwall/peers/prefix_relay.py
@@ -33,9 +33,11 @@
         repeat_s = max(MIN_RELAY_S, RELAY_INTERVALS * seconds)
         self.local_zone.repeat_s = self.remote_zones.repeat_s = repeat_s
 
-    def current(self, own: Beacon, is_fleet: bool, now: float) -> CachedPrefixes:
+    def current(
+        self, local_beacon: Beacon, is_fleet: bool, now: float
+    ) -> CachedPrefixes:
         """Return the parts that the zone's instances, or the fleet's, tell of."""
-        cached_prefixes = dict(own.cached_prefixes)
+        cached_prefixes = dict(local_beacon.cached_prefixes)
         merge_cached_prefixes(cached_prefixes, self.local_zone.to_send(now))
         if is_fleet:
             merge_cached_prefixes(cached_prefixes, self.remote_zones.to_send(now))
--- a/packages/buckthornwall/src/buckthornwall/peers/received_message.py
+++ b/packages/buckthornwall/src/buckthornwall/peers/received_message.py
@@ -13,14 +13,14 @@
 class ReceivedMessage:
     """What was last heard of an instance.
 
-    Silence counts from `last_seen_at`; the message itself is of `sent_at`. `names` are
+    Silence counts from `last_seen_at`; the message itself is of `sent_at`. `upstreams` are
     the upstreams of a digest in its order, by which heartbeats tell counts.
     """
 
     message: Beacon | Digest
     last_seen_at: float
     sent_at: float
-    names: list[UpstreamId] = field(default_factory=list)
+    upstreams: list[UpstreamId] = field(default_factory=list)
 
     @classmethod
     def from_digest(cls, digest: Digest, sent_at: float) -> "ReceivedMessage":
--- a/packages/buckthornwall/src/buckthornwall/peers/speaker_lookup.py
+++ b/packages/buckthornwall/src/buckthornwall/peers/speaker_lookup.py
@@ -70,10 +70,10 @@
 
     async def request_speaker(self, address: str) -> None:
         """Ask an instance who speaks for this one's zone."""
-        own = self.make_beacon()
-        own.requests_speaker = True
+        local_beacon = self.make_beacon()
+        local_beacon.requests_speaker = True
         if address != self.table.address:
-            await self.send(encode(own), address)
+            await self.send(encode(local_beacon), address)
 
     async def redirect(self, address: str, now: float) -> None:
         """Send the zone's digest to an instance that follows another speaker.
@@ -81,25 +81,27 @@
         With lookups alone, instances that start together would have several speakers
         for seconds, each with a part of the members.
         """
-        own = self.make_beacon()
-        if own.state is not PeerState.LEAVING:
-            await self.send(encode(self.table.relayed_digest(own, now)), address)
+        local_beacon = self.make_beacon()
+        if local_beacon.state is not PeerState.LEAVING:
+            await self.send(
+                encode(self.table.relayed_digest(local_beacon, now)), address
+            )
 
     async def answer(self, beacon: Beacon, now: float) -> None:
         """Tell who speaks: in the greeter's zone, and for this one.
 
         Whoever leaves says that instead, or it would be taken for a speaker again.
         """
-        own = self.make_beacon()
-        if own.state is PeerState.LEAVING:
-            await self.send(encode(own), beacon.address)
+        local_beacon = self.make_beacon()
+        if local_beacon.state is PeerState.LEAVING:
+            await self.send(encode(local_beacon), beacon.address)
             return
-        digest = self.table.relayed_digest(own, now)
+        digest = self.table.relayed_digest(local_beacon, now)
         if beacon.zone == self.table.zone:
             await self.send(encode(digest), beacon.address)
             return
-        own_zone = digest if not digest.is_fleet else _speaker_pointer(digest)
-        await self.send(encode(own_zone), beacon.address)
+        zone_digest = digest if not digest.is_fleet else _speaker_pointer(digest)
+        await self.send(encode(zone_digest), beacon.address)
         speaker = digest.speakers.get(beacon.zone)
         if speaker is not None and speaker != beacon.address:
             pointer = _speaker_pointer(digest)
--- a/packages/buckthornwall/src/buckthornwall/peers/table.py
+++ b/packages/buckthornwall/src/buckthornwall/peers/table.py
@@ -26,7 +26,7 @@
 from .messages import Beacon, Digest, Heartbeat, PeerState, Work
 from .prefix_relay import PrefixRelay
 from .received_message import ReceivedMessage
-from .work import NOTHING, subtract_local
+from .work import NO_WORK, subtract_local
 
 __all__ = ["PeerTable"]
 
@@ -137,8 +137,8 @@
         PeerError
             PEER_MESSAGE if its counts are none.
         """
-        is_own_zone = heartbeat.zone == self.zone
-        received = self.speaker if is_own_zone else self.zones.get(heartbeat.zone)
+        is_local_zone = heartbeat.zone == self.zone
+        received = self.speaker if is_local_zone else self.zones.get(heartbeat.zone)
         if received is None or received.message.address != heartbeat.address:
             return None
         if self.departures.is_leaving(heartbeat.address, now):
@@ -148,12 +148,12 @@
         received.message.store_uptime_ms = heartbeat.store_uptime_ms
         received.message.limits = heartbeat.limits
         merge_newer_revision(received.message, heartbeat)
-        counts = read_counts(heartbeat, received.message, received.names)
+        counts = read_counts(heartbeat, received.message, received.upstreams)
         if counts is None:
             return None
         received.message.loads, cached_prefixes = counts
         received.message.unreachable = heartbeat.unreachable
-        if not is_own_zone:
+        if not is_local_zone:
             self.prefixes.remote_zones.receive(cached_prefixes, now)
         return cached_prefixes
 
@@ -213,11 +213,12 @@
 
     def _takeover_delay_s(self, digest: Digest) -> float:
         """Return how long those of a higher order have to speak up first."""
-        own = election_priority(self.address, self.weight)
+        local_priority = election_priority(self.address, self.weight)
         higher = sum(
             1
             for address, weight in digest.members.items()
-            if address != digest.address and election_priority(address, weight) > own
+            if address != digest.address
+            and election_priority(address, weight) > local_priority
         )
         return higher * self.stagger_s
 
@@ -249,21 +250,21 @@
         known.pop(self.zone, None)
         return known
 
-    def make_digest(self, own: Beacon, is_fleet: bool, now: float) -> Digest:
+    def make_digest(self, local_beacon: Beacon, is_fleet: bool, now: float) -> Digest:
         """Return what this instance tells as a speaker.
 
         Parameters
         ----------
-        own
-            What it would tell a speaker.
+        local_beacon
+            What it would report to a speaker.
         is_fleet
             Whether other zones are included, as for members.
         now
             The time in seconds.
         """
-        beacons, remote = self._zone_beacons(own), self._remote_zones(is_fleet)
+        beacons, remote = self._zone_beacons(local_beacon), self._remote_zones(is_fleet)
         count = sum(1 for beacon in beacons if beacon.state is not PeerState.JOINING)
-        newest = self.make_heartbeat(own, is_fleet, now)
+        newest = self.make_heartbeat(local_beacon, is_fleet, now)
         return Digest(
             address=self.address,
             weight=self.weight,
@@ -278,49 +279,53 @@
             read_age_ms=newest.read_age_ms,
             store_uptime_ms=newest.store_uptime_ms,
             loads=sum_loads(beacons, remote),
-            cached_prefixes=self.prefixes.current(own, is_fleet, now),
+            cached_prefixes=self.prefixes.current(local_beacon, is_fleet, now),
             unreachable=sum_unreachable(beacons, remote),
-            crash_checksum=own.crash_checksum,
+            crash_checksum=local_beacon.crash_checksum,
             limits=newest.limits,
         )
 
-    def number(self, digest: Digest) -> None:
+    def assign_sequence(self, digest: Digest) -> None:
         """Give a digest its number, so that counts may name its upstreams."""
-        self._counts.number(digest)
+        self._counts.assign_sequence(digest)
 
-    def add_counts(self, heartbeat: Heartbeat, own: Beacon, now: float) -> None:
+    def add_counts(
+        self, heartbeat: Heartbeat, local_beacon: Beacon, now: float
+    ) -> None:
         """Let a heartbeat tell the work at upstreams, and the prefixes sent there.
 
         Parameters
         ----------
         heartbeat
             As `make_heartbeat` returned it, after a digest that was numbered.
-        own, now
+        local_beacon, now
             As for a digest.
         """
         beacons, remote = (
-            self._zone_beacons(own),
+            self._zone_beacons(local_beacon),
             self._remote_zones(heartbeat.is_fleet),
         )
         loads = sum_loads(beacons, remote)
-        cached_prefixes = self.prefixes.current(own, heartbeat.is_fleet, now)
+        cached_prefixes = self.prefixes.current(local_beacon, heartbeat.is_fleet, now)
         self._counts.fill(heartbeat, loads, cached_prefixes)
         heartbeat.unreachable = sum_unreachable(beacons, remote)
 
-    def _zone_beacons(self, own: Beacon) -> list[Beacon]:
+    def _zone_beacons(self, local_beacon: Beacon) -> list[Beacon]:
         """Return what the instances of the zone say of themselves."""
-        return [own, *(received.message for received in self.members.values())]
+        return [local_beacon, *(received.message for received in self.members.values())]
 
     def _remote_zones(self, is_fleet: bool) -> list[ReceivedMessage]:
         """Return what other zones' speakers told, if the fleet is asked for."""
         return list(self.zones.values()) if is_fleet else []
 
-    def make_heartbeat(self, own: Beacon, is_fleet: bool, now: float) -> Heartbeat:
+    def make_heartbeat(
+        self, local_beacon: Beacon, is_fleet: bool, now: float
+    ) -> Heartbeat:
         """Return what this instance tells between two digests.
 
         Parameters are those of a digest. What was received grows older meanwhile.
         """
-        beacons, remote = self._zone_beacons(own), self._remote_zones(is_fleet)
+        beacons, remote = self._zone_beacons(local_beacon), self._remote_zones(is_fleet)
         messages = [*self.members.values(), *remote]
         best = max(beacons, key=lambda beacon: (beacon.number, beacon.change_revision))
         heartbeat = Heartbeat(
@@ -331,10 +336,10 @@
             number=best.number,
             change_revision=best.change_revision,
             freshest_peer=best.address,
-            read_age_ms=own.read_age_ms,
+            read_age_ms=local_beacon.read_age_ms,
             store_uptime_ms=max(beacon.store_uptime_ms for beacon in beacons),
-            crash_checksum=own.crash_checksum,
-            limits=merge_limits(own, messages, now),
+            crash_checksum=local_beacon.crash_checksum,
+            limits=merge_limits(local_beacon, messages, now),
         )
         for received in messages:
             merge_read_age(heartbeat, received, now)
@@ -347,19 +352,19 @@
 
     # What follows for this instance
 
-    def fleet_digest(self, own: Beacon, now: float) -> Digest:
+    def fleet_digest(self, local_beacon: Beacon, now: float) -> Digest:
         """Return the digest of the fleet as it is known here."""
         if self.is_speaker(now):
-            return self.make_digest(own, is_fleet=True, now=now)
+            return self.make_digest(local_beacon, is_fleet=True, now=now)
         return self.speaker.message
 
-    def relayed_digest(self, own: Beacon, now: float) -> Digest:
+    def relayed_digest(self, local_beacon: Beacon, now: float) -> Digest:
         """Return the digest of the fleet for an instance that asks who speaks.
 
         It says how old it is: told as if it were new, the word of a speaker that had
         died was gone by for up to twice as long.
         """
-        digest = self.fleet_digest(own, now)
+        digest = self.fleet_digest(local_beacon, now)
         return msgspec.structs.replace(digest, age_ms=self._age_ms(now), sequence=0)
 
     def _age_ms(self, now: float) -> int:
@@ -377,33 +382,33 @@
         """
         return 0.0 if self.is_speaker(now) else now - self.speaker.sent_at
 
-    def peer_work(self, own: Beacon, now: float) -> dict[UpstreamId, PeerLoad]:
+    def peer_work(self, local_beacon: Beacon, now: float) -> dict[UpstreamId, PeerLoad]:
         """Return the work of all other instances by upstream."""
         if self.is_speaker(now):
             loads = sum_loads(
-                self._zone_beacons(own), self._remote_zones(is_fleet=True)
+                self._zone_beacons(local_beacon), self._remote_zones(is_fleet=True)
             )
-            counted = own.loads
+            counted = local_beacon.loads
         else:
             loads, counted = self.speaker.message.loads, self.reported_work
         return {
-            upstream: subtract_local(work, counted.get(upstream, NOTHING))
+            upstream: subtract_local(work, counted.get(upstream, NO_WORK))
             for upstream, work in loads.items()
         }
 
-    def limits(self, own: Beacon, now: float) -> LimitReports:
+    def limits(self, local_beacon: Beacon, now: float) -> LimitReports:
         """Return the newest word on what upstreams take in a second."""
         if self.is_speaker(now):
             received = [*self.members.values(), *self._remote_zones(is_fleet=True)]
-            return merge_limits(own, received, now)
+            return merge_limits(local_beacon, received, now)
         return merge_limit_reports(
             [(self.speaker.message.limits, self.staleness_s(now))]
         )
 
-    def unreachable(self, own: Beacon, now: float) -> Unreachable:
+    def unreachable(self, local_beacon: Beacon, now: float) -> Unreachable:
         """Return how many instances could lately not reach which upstream."""
         if self.is_speaker(now):
             return sum_unreachable(
-                self._zone_beacons(own), self._remote_zones(is_fleet=True)
+                self._zone_beacons(local_beacon), self._remote_zones(is_fleet=True)
             )
         return self.speaker.message.unreachable
--- a/packages/buckthornwall/src/buckthornwall/peers/tests/test_mutations.py
+++ b/packages/buckthornwall/src/buckthornwall/peers/tests/test_mutations.py
@@ -25,7 +25,7 @@
     speaker, own = table(FIRST), beacon(FIRST, random_loads(20))
     own.cached_prefixes = {UpstreamId("i-1"): [("00c0ffee", 900)]}
     digest = speaker.make_digest(own, True, 0.0)
-    speaker.number(digest)
+    speaker.assign_sequence(digest)
     heartbeat = speaker.make_heartbeat(own, True, 0.1)
     speaker.add_counts(heartbeat, own, 0.1)
     return own, digest, heartbeat
--- a/packages/buckthornwall/src/buckthornwall/peers/tests/test_packing.py
+++ b/packages/buckthornwall/src/buckthornwall/peers/tests/test_packing.py
@@ -12,7 +12,7 @@
 from buckthornwall.codes import PeerError
 from buckthornwall.peers import Heartbeat, PeerTable, Work
 from buckthornwall.peers.messages import (
-    MOST_DATAGRAM_BYTES,
+    MAX_DATAGRAM_BYTES,
     PeerMessage,
     decode,
     encode,
@@ -156,7 +156,7 @@
 
 def test_a_short_datagram_that_stands_for_megabytes_is_refused():
     """64 KB of it would have taken 16 MB of an instance that has 128."""
-    bomb = zlib.compress(cbor2.dumps([0] * 2 * MOST_DATAGRAM_BYTES))
+    bomb = zlib.compress(cbor2.dumps([0] * 2 * MAX_DATAGRAM_BYTES))
     assert len(bomb) < 65_536
     with pytest.raises(PeerError, match="too long"):
         decode(bomb, PeerMessage)
@@ -165,7 +165,7 @@
 def told(speaker: PeerTable, own, is_numbered=True) -> tuple:
     digest = speaker.make_digest(own, is_fleet=True, now=0.0)
     if is_numbered:
-        speaker.number(digest)
+        speaker.assign_sequence(digest)
     return digest
 
 
@@ -227,7 +227,7 @@
     first, far = table(FIRST), table("10.1.0.1:7340", "far")
     own = beacon(far.address, {E1: Work(5)}, "far")
     digest = far.make_digest(own, is_fleet=False, now=0.0)
-    far.number(digest)
+    far.assign_sequence(digest)
     first.receive_digest(digest, 0.0)
     own.loads = {E1: Work(7)}
     own.cached_prefixes = {E1: [("00c0ffee", 4000)]}
--- a/packages/buckthornwall/src/buckthornwall/peers/views.py
+++ b/packages/buckthornwall/src/buckthornwall/peers/views.py
@@ -17,7 +17,7 @@
 TIMEOUT_S = 1.0
 # A peer that has gone dark is given up after this long, a hundred ways to it and back;
 # whoever asked reads the store then.
-CONNECT_S = 0.3
+CONNECT_TIMEOUT_S = 0.3
 VIEW_PATH = b"/view?number="
 CBOR = [(b"Content-Type", b"application/cbor")]
 
@@ -40,7 +40,7 @@
             raise PeerError(ResultCode.PEER_MESSAGE, str(error)) from error
 
     async def _ask(self, address: str, number: int) -> PeerView:
-        connection = await ClientConnection.connect(address, CONNECT_S)
+        connection = await ClientConnection.connect(address, CONNECT_TIMEOUT_S)
         try:
             headers = [(b"host", address.encode()), (b"connection", b"close")]
             await connection.send(b"GET", VIEW_PATH + b"%d" % number, headers, b"")
@@ -59,10 +59,10 @@
     incoming: IncomingRequest, answer: Answer, view: PeerView, number: int
 ) -> None:
     """Answer a peer that asks for what is in force here."""
-    path, _, theirs = incoming.target.partition(b"number=")
-    if not theirs.isdigit():
+    path, _, known_number = incoming.target.partition(b"number=")
+    if not known_number.isdigit():
         await answer.whole(404, [], b"")
         return
-    if int(theirs) >= number:
+    if int(known_number) >= number:
         view.published = b""
     await answer.whole(200, CBOR, encode(view))
--- a/packages/buckthornwall/src/buckthornwall/peers/work.py
+++ b/packages/buckthornwall/src/buckthornwall/peers/work.py
@@ -5,13 +5,13 @@
 
 from .messages import Work
 
-__all__ = ["NOTHING", "add_work", "subtract_local", "outstanding_work"]
+__all__ = ["NO_WORK", "add_work", "subtract_local", "outstanding_work"]
 
-NOTHING = Work()
+NO_WORK = Work()
 MS_PER_S = 1000.0
 # Shorter waits say nothing that counts of pending prefill tokens do not, and cost
 # bytes.
-LEAST_TOLD_WAIT_S = 0.2
+MIN_REPORTED_WAIT_S = 0.2
 
 
 def outstanding_work(load: Load, now: float) -> Work:
@@ -19,7 +19,7 @@
     oldest_ms = {
         rank: int(age * MS_PER_S)
         for rank, age in load.waits.oldest_s(now).items()
-        if age >= LEAST_TOLD_WAIT_S
+        if age >= MIN_REPORTED_WAIT_S
     }
     return Work(
         load.requests,
@@ -33,7 +33,7 @@
 def add_work(total: dict[UpstreamId, Work], part: dict[UpstreamId, Work]) -> None:
     """Add the work of a part to a total."""
     for upstream, work in part.items():
-        before = total.get(upstream, NOTHING)
+        before = total.get(upstream, NO_WORK)
         pending_prefill = dict(before.pending_prefill)
         for rank, tokens in work.pending_prefill.items():
             pending_prefill[rank] = pending_prefill.get(rank, 0) + tokens
@@ -49,16 +49,16 @@
         )
 
 
-def subtract_local(work: Work, own: Work) -> PeerLoad:
+def subtract_local(work: Work, local: Work) -> PeerLoad:
     """Return a sum without this instance's part of it.
 
     The oldest of all stays the oldest, whoever sent it.
     """
-    requests = max(0, work.requests - own.requests)
+    requests = max(0, work.requests - local.requests)
     pending_prefill = {
-        rank: tokens - own.pending_prefill.get(rank, 0)
+        rank: tokens - local.pending_prefill.get(rank, 0)
         for rank, tokens in work.pending_prefill.items()
-        if tokens > own.pending_prefill.get(rank, 0)
+        if tokens > local.pending_prefill.get(rank, 0)
     }
     if not requests and not pending_prefill:
         return NO_PEERS
@@ -66,7 +66,7 @@
     return PeerLoad(
         requests,
         pending_prefill,
-        max(0, work.pause_sensitive - own.pause_sensitive),
+        max(0, work.pause_sensitive - local.pause_sensitive),
         oldest_s,
-        max(0, work.memory - own.memory),
+        max(0, work.memory - local.memory),
     )
--- a/packages/buckthornwall/src/buckthornwall/router/core.py
+++ b/packages/buckthornwall/src/buckthornwall/router/core.py
@@ -271,7 +271,9 @@
     async def _first_sync(self) -> None:
         """Wait until this instance knows what others refuse, if it has just started."""
         until = self.ready_at + FIRST_SYNC_S
-        while not self.peer_agent.crashes.was_in_sync and self.clock.now() < until:
+        while (
+            not self.peer_agent.crash_exchange.was_in_sync and self.clock.now() < until
+        ):
             await trio.sleep(SYNC_POLL_S)
 
     async def _handle_readiness(
