--- a/packages/buckthornwall-standins/src/buckthornwall_standins/callers.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/callers.py
@@ -15,7 +15,7 @@
 import httpcore
 import msgspec
 import trio
-from buckthornwall.platform.client import INSTANCES
+from buckthornwall.platform.client import INSTANCES_PREFIX
 from buckthornwall.upstreams.engine import sse_events
 from buckthornwall.utils import TRANSPORT_ERRORS
 
@@ -242,7 +242,7 @@
             try:
                 page = await self.fleet.read(
                     self.fleet.platform_address,
-                    f"/kv-range?path_prefix={INSTANCES}",
+                    f"/kv-range?path_prefix={INSTANCES_PREFIX}",
                 )
                 listed = [
                     msgspec.json.decode(base64.b64decode(item["value"]))
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/peers_sim/peer.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/peers_sim/peer.py
@@ -21,7 +21,7 @@
 
 # How often it is looked how far behind an instance is.
 LOOK_S = 0.05
-HOUSEKEEPING_S = 0.5
+HOUSEKEEPING_INTERVAL_S = 0.5
 STORE_DELAY_S = 0.004
 # What the product waits for an answer of the store that does not come, in seconds.
 STORE_SILENCE_S = 1.0
@@ -178,7 +178,7 @@
 
     async def _keep_house(self) -> None:
         while True:
-            await trio.sleep(HOUSEKEEPING_S)
+            await trio.sleep(HOUSEKEEPING_INTERVAL_S)
             self.share_limits()
 
     async def _look(self) -> None:
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/platform.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/platform.py
@@ -12,7 +12,7 @@
 import msgspec
 import trio
 from buckthornwall.gateway.http import Exchange
-from buckthornwall.platform.client import INSTANCES, RECORDS
+from buckthornwall.platform.client import INSTANCES_PREFIX, RECORDS_KEY
 from buckthornwall.utils import TRANSPORT_ERRORS
 
 from .asgi import json_app, serve_until_signal
@@ -77,7 +77,7 @@
         if self.down:
             await exchange.respond_json({"error": "down"}, 503)
             return
-        if self.shows_always and RECORDS.startswith(query["path_prefix"]):
+        if self.shows_always and RECORDS_KEY.startswith(query["path_prefix"]):
             page = self.store.range(query | {"after": ""})
             status = 200
             body = {"events": page["items"], "store_revision": page["store_revision"]}
@@ -89,7 +89,7 @@
 
     def publish(self, raw: bytes) -> None:
         """Write a set of records as it is; its number may be an older one."""
-        self.store.put_raw(RECORDS, raw)
+        self.store.put_raw(RECORDS_KEY, raw)
 
     async def control_records(self, exchange: Exchange) -> None:
         """Publish a set of records."""
@@ -118,7 +118,7 @@
     def publish_list(self) -> None:
         """Write what has changed of the list."""
         listed = {
-            INSTANCES + each["id"]: {
+            INSTANCES_PREFIX + each["id"]: {
                 "id": each["id"],
                 "kind": each["kind"],
                 "address": each["address"],
--- a/packages/buckthornwall/src/buckthornwall/discovery/agent.py
+++ b/packages/buckthornwall/src/buckthornwall/discovery/agent.py
@@ -23,17 +23,17 @@
 
 RETRY_FIRST_S = 0.05
 RETRY_LIMIT_S = 0.5
-LOOK_S = 0.1
+POLL_S = 0.1
 # What is missing in the answers of this long after an outage may have run out
 # in it; what is removed later is removed by its upstream, and gets no more work.
-DOUBT_S = 0.5
+DEFER_REMOVALS_S = 0.5
 MS_PER_S = 1000.0
 # An answer this much older than the longest watch no longer vouches for the
 # source: whoever was paused or cut off may not know of an outage yet.
-VOUCH_MARGIN_S = 1.0
-# Watches are this short while removals are doubted, so that the end of the doubt
+UPTIME_MARGIN_S = 1.0
+# Watches are this short while removals are deferred, so that the end of the doubt
 # is not waited out in one.
-DOUBTED_WATCH_S = 0.3
+MAX_DEFERRED_WATCH_S = 0.3
 
 
 class DiscoverySettings(ConfigNamespace):
@@ -68,7 +68,7 @@
 
     While the source is away nothing changes here. Registrations run out during
     an outage although their upstreams live, so what is missing after one is
-    only taken to be gone when the upstreams have had time to register again.
+    only taken to be missing when the upstreams have had time to register again.
 
     Parameters
     ----------
@@ -101,74 +101,74 @@
         self.clock = clock
         self.revision = 0
         self.change_revision = 0
-        self.raw = b""
-        self.read_once = False
+        self.raw_config = b""
+        self.has_adopted = False
         self.answered_at = clock.now()
         self.read_at = -math.inf
         self.is_store_unavailable = False
         self._store_up_since = clock.now()
         self.on_change: Callable[[], None] = lambda: None
-        self.on_gone: Callable[[UpstreamId], None] = lambda upstream: None
+        self.on_removed: Callable[[UpstreamId], None] = lambda upstream: None
         self.on_restart: Callable[[UpstreamId], None] = lambda upstream: None
         self.may_read: Callable[[], bool] = lambda: True
         self.on_call: Callable[[float, str], None] = lambda seconds, outcome: None
-        self._doubt_until = 0.0
-        self._settle_at = 0.0
-        self._doubted: set[UpstreamId] = set()
+        self._defer_removals_until = 0.0
+        self._remove_deferred_at = 0.0
+        self._deferred_removals: set[UpstreamId] = set()
 
     async def run(self) -> None:
         """Read and watch until cancelled."""
         backoff = Backoff(RETRY_FIRST_S, RETRY_LIMIT_S)
-        need_all = True
+        needs_snapshot = True
         while True:
-            await self._until_reading()
+            await self._wait_until_reader()
             started = self.clock.now()
             try:
-                update = await self._next(need_all)
+                update = await self._read_next(needs_snapshot)
             except HistoryLost:
                 self.on_call(self.clock.now() - started, "history_lost")
                 log_event("history_lost", "WARNING", revision=self.revision)
-                need_all = True
+                needs_snapshot = True
                 continue
             except PeerError as error:
                 self.on_call(self.clock.now() - started, "failed")
-                self.note_failure(error)
+                self.record_failure(error)
                 await trio.sleep(backoff.next_delay())
                 continue
             self.on_call(self.clock.now() - started, "answered")
             self.record_answer()
             backoff.reset()
-            need_all = False
+            needs_snapshot = False
             self.adopt(update)
-            self.settle()
+            self.remove_deferred()
             await trio.sleep(self.settings.gap_ms / MS_PER_S)
 
-    async def _until_reading(self) -> None:
+    async def _wait_until_reader(self) -> None:
         """Wait while others read for this instance."""
         if self.may_read():
             return
         self.is_store_unavailable = False
         while not self.may_read():
-            # What was doubted while this instance read is not forgotten, or upstreams
+            # What was deferred while this instance read is not forgotten, or upstreams
             # that have ended would be tried here for seconds longer than by readers.
-            self.settle()
-            await trio.sleep(LOOK_S)
+            self.remove_deferred()
+            await trio.sleep(POLL_S)
         self.answered_at = self._store_up_since = self.clock.now()
 
-    async def _next(self, need_all: bool) -> StoreUpdate:
-        if need_all:
+    async def _read_next(self, needs_snapshot: bool) -> StoreUpdate:
+        if needs_snapshot:
             return await self.source.read_all()
-        return await self.source.watch(self.revision, self.watch_s())
+        return await self.source.watch(self.revision, self.max_watch_s())
 
-    def watch_s(self) -> float:
+    def max_watch_s(self) -> float:
         """Return how long the next watch may wait, in seconds."""
         limit_s = self.settings.watch_ms / MS_PER_S
-        if self._doubted:
-            left_s = max(0.0, self._settle_at - self.clock.now())
-            limit_s = min(limit_s, left_s, DOUBTED_WATCH_S)
+        if self._deferred_removals:
+            left_s = max(0.0, self._remove_deferred_at - self.clock.now())
+            limit_s = min(limit_s, left_s, MAX_DEFERRED_WATCH_S)
         return limit_s
 
-    def note_failure(self, error: PeerError) -> None:
+    def record_failure(self, error: PeerError) -> None:
         """Record that the source did not answer."""
         silent_s = self.clock.now() - self.answered_at
         if (
@@ -188,8 +188,8 @@
         if self.is_store_unavailable:
             self.is_store_unavailable = False
             self._store_up_since = now
-            self._doubt_until = now + DOUBT_S
-            self._settle_at = now + self.settings.settle_ms / MS_PER_S
+            self._defer_removals_until = now + DEFER_REMOVALS_S
+            self._remove_deferred_at = now + self.settings.settle_ms / MS_PER_S
             away_ms = round((now - self.answered_at) * MS_PER_S)
             log_event("store_regained", away_ms=away_ms, revision=self.revision)
         self.answered_at = self.read_at = now
@@ -199,17 +199,17 @@
         if update.published is not None:
             self._adopt_published(update.published)
         self._adopt_entries(update)
-        gone = set(update.removed)
+        missing = set(update.removed)
         if update.is_snapshot:
-            gone |= set(self.pools.views) - set(update.entries)
-        if self.clock.now() < self._doubt_until:
-            self._doubted |= gone
+            missing |= set(self.pools.views) - set(update.entries)
+        if self.clock.now() < self._defer_removals_until:
+            self._deferred_removals |= missing
         else:
-            self._remove(gone)
+            self._remove(missing)
         self._adopt_zones(update)
         self.revision = max(self.revision, update.revision)
         self.change_revision = max(self.change_revision, update.change_revision)
-        self.read_once = True
+        self.has_adopted = True
         self.pools.set_contracts(self.table.pools.values(), self.table.routes)
         self.on_change()
 
@@ -221,11 +221,11 @@
         known = set(self.pools.views)
         restarted = set()
         for entry in update.entries.values():
-            self._doubted.discard(entry.id)
+            self._deferred_removals.discard(entry.id)
             if self.pools.adopt(entry):
                 restarted.add(entry.id)
                 self.on_restart(entry.id)
-        if self.read_once:
+        if self.has_adopted:
             started = (update.entries.keys() - known) | restarted
             self.pools.rate_limits.assume_cold(
                 self.pools.views[name] for name in started
@@ -239,7 +239,7 @@
             return
         before = self.table.number
         if self.table.adopt(published):
-            self.raw = raw
+            self.raw_config = raw
             log_event(
                 "config_adopted",
                 number=published.number,
@@ -280,16 +280,16 @@
         0 where it has not answered lately, or others read for this instance.
         """
         now = self.clock.now()
-        fresh_s = self.settings.watch_ms / MS_PER_S + VOUCH_MARGIN_S
-        if self.is_store_unavailable or now - self.read_at > fresh_s:
+        max_age_s = self.settings.watch_ms / MS_PER_S + UPTIME_MARGIN_S
+        if self.is_store_unavailable or now - self.read_at > max_age_s:
             return 0.0
         return now - self._store_up_since
 
-    def settle(self) -> None:
-        """Take what is still missing long enough after an outage to be gone."""
-        if self._doubted and self.clock.now() >= self._settle_at:
-            doubted, self._doubted = self._doubted, set()
-            self._remove(doubted)
+    def remove_deferred(self) -> None:
+        """Take what is still missing long enough after an outage to be missing."""
+        if self._deferred_removals and self.clock.now() >= self._remove_deferred_at:
+            deferred, self._deferred_removals = self._deferred_removals, set()
+            self._remove(deferred)
 
     def receive_store_uptime(self, seconds: float) -> None:
         """Believe the next answer where only this instance was cut off.
@@ -301,14 +301,14 @@
         ----------
         seconds
             For how long the source has answered some instance without an outage.
-            Its list has settled where that is over the time to settle.
+            Its list has settled where that is over the time to remove_deferred.
         """
         if seconds * MS_PER_S > self.settings.settle_ms:
             now = self.clock.now()
-            self._doubt_until = min(self._doubt_until, now)
-            self._settle_at = min(self._settle_at, now)
+            self._defer_removals_until = min(self._defer_removals_until, now)
+            self._remove_deferred_at = min(self._remove_deferred_at, now)
 
-    def _remove(self, gone: set[UpstreamId]) -> None:
-        for upstream in gone:
+    def _remove(self, missing: set[UpstreamId]) -> None:
+        for upstream in missing:
             self.pools.remove(upstream)
-            self.on_gone(upstream)
+            self.on_removed(upstream)
--- a/packages/buckthornwall/src/buckthornwall/discovery/tests/test_agent.py
+++ b/packages/buckthornwall/src/buckthornwall/discovery/tests/test_agent.py
@@ -41,7 +41,7 @@
 def away_for(agent, clock, seconds: float) -> None:
     """Let the source be away, and answer again."""
     clock.time += seconds
-    agent.note_failure(PeerError(ResultCode.PLATFORM_UNREACHABLE, "reset"))
+    agent.record_failure(PeerError(ResultCode.PLATFORM_UNREACHABLE, "reset"))
     agent.record_answer()
 
 
@@ -77,7 +77,7 @@
     clock.time += 1.0
     agent.adopt(update(3, "a"))
     clock.time += 2.0
-    agent.settle()
+    agent.remove_deferred()
     assert list(agent.pools.views) == ["a"]
 
 
@@ -97,9 +97,9 @@
     away_for(agent, clock, 5.0)
     agent.adopt(update(2, removed=["a"]))
     agent.receive_store_uptime(30.0)
-    assert agent.watch_s() == 0.0
+    assert agent.max_watch_s() == 0.0
     agent.adopt(update(2))
-    agent.settle()
+    agent.remove_deferred()
     assert list(agent.pools.views) == ["b"]
     agent.adopt(update(3, removed=["b"]))
     assert not agent.pools.views
@@ -111,7 +111,7 @@
     agent.adopt(update(2, removed=["a"]))
     agent.receive_store_uptime(9.0)
     agent.adopt(update(3, "a"))
-    agent.settle()
+    agent.remove_deferred()
     assert list(agent.pools.views) == ["a"]
 
 
@@ -122,10 +122,10 @@
     agent.receive_store_uptime(0.3)
     clock.time += 1.8
     agent.receive_store_uptime(2.1)
-    agent.settle()
+    agent.remove_deferred()
     assert list(agent.pools.views) == ["a"]
     clock.time += 0.4
-    agent.settle()
+    agent.remove_deferred()
     assert not agent.pools.views
 
 
@@ -149,12 +149,12 @@
 
 def test_watches_are_short_while_removals_are_doubted(agent, clock):
     agent.adopt(update(1, "a", is_snapshot=True))
-    assert agent.watch_s() == pytest.approx(1.5)
+    assert agent.max_watch_s() == pytest.approx(1.5)
     away_for(agent, clock, 5.0)
     agent.adopt(update(2, removed=["a"]))
-    assert agent.watch_s() == pytest.approx(0.3)
+    assert agent.max_watch_s() == pytest.approx(0.3)
     clock.time += 2.0
-    assert agent.watch_s() == pytest.approx(0.2)
+    assert agent.max_watch_s() == pytest.approx(0.2)
 
 
 def test_only_changes_move_the_mark(agent):
@@ -172,7 +172,7 @@
     agent.adopt(update(1, "a", "b", is_snapshot=True))
     agent.record_answer()
     await trio.sleep(3.0)
-    agent.note_failure(PeerError(ResultCode.PLATFORM_UNREACHABLE, "reset"))
+    agent.record_failure(PeerError(ResultCode.PLATFORM_UNREACHABLE, "reset"))
     agent.record_answer()
     agent.adopt(update(2, "b", is_snapshot=True))
     assert set(pools.views) == {"a", "b"}
--- a/packages/buckthornwall/src/buckthornwall/platform/calls.py
+++ b/packages/buckthornwall/src/buckthornwall/platform/calls.py
@@ -12,7 +12,7 @@
 
 __all__ = ["Changes", "StoreAnswer", "StoreCalls", "StoredValue", "Transport"]
 
-GONE = 410
+HTTP_GONE = 410
 MS_PER_S = 1000.0
 
 
@@ -124,7 +124,7 @@
         query = f"path_prefix={quote(prefix, safe='')}&after={after}"
         query += f"&wait_ms={int(wait_s * MS_PER_S)}"
         answer = await self._call(f"/kv-watch?{query}", wait_s)
-        if answer.status == GONE:
+        if answer.status == HTTP_GONE:
             raise HistoryLost
         events = _decode(answer, _Events)
         return Changes(events.store_revision, [_value(item) for item in events.events])
@@ -134,12 +134,12 @@
         return await self.transport(target, wait_s)
 
 
-def _decode(answer: StoreAnswer, form: type) -> _Page | _Events:
+def _decode(answer: StoreAnswer, schema: type) -> _Page | _Events:
     if answer.status != 200:
         detail = f"status {answer.status}"
         raise PeerError(ResultCode.PLATFORM_UNREACHABLE, detail)
     try:
-        return msgspec.json.decode(answer.body, type=form)
+        return msgspec.json.decode(answer.body, type=schema)
     except msgspec.DecodeError as error:
         raise PeerError(ResultCode.PLATFORM_UNREACHABLE, str(error)) from error
 
--- a/packages/buckthornwall/src/buckthornwall/platform/client.py
+++ b/packages/buckthornwall/src/buckthornwall/platform/client.py
@@ -16,8 +16,8 @@
 from .calls import Changes, StoreAnswer, StoreCalls
 
 __all__ = [
-    "INSTANCES",
-    "RECORDS",
+    "INSTANCES_PREFIX",
+    "RECORDS_KEY",
     "InstanceKind",
     "InstanceList",
     "ListedInstance",
@@ -25,8 +25,8 @@
     "PlatformSettings",
 ]
 
-RECORDS = "buckthornwall/records"
-INSTANCES = "instances/"
+RECORDS_KEY = "buckthornwall/records"
+INSTANCES_PREFIX = "instances/"
 ANSWER_MARGIN_S = 3.0
 
 
@@ -69,7 +69,7 @@
     instances: list[ListedInstance]
 
 
-class _Followed:
+class _WatchedPrefix:
     """What one prefix of the store holds, read whole once and watched then."""
 
     def __init__(self, calls: StoreCalls, prefix: str) -> None:
@@ -78,7 +78,7 @@
         self.revision: int | None = None
         self.values: dict[str, bytes] = {}
 
-    async def next(self, wait_s: float) -> bool:
+    async def update(self, wait_s: float) -> bool:
         """Take what is new; tell whether anything was.
 
         Raises
@@ -92,14 +92,14 @@
             except HistoryLost:
                 self.revision = None
             else:
-                self._take(changes)
+                self._apply(changes)
                 return bool(changes.values)
         changes = await self.calls.read_all(self.prefix)
         self.values.clear()
-        self._take(changes)
+        self._apply(changes)
         return bool(changes.values)
 
-    def _take(self, changes: Changes) -> None:
+    def _apply(self, changes: Changes) -> None:
         self.revision = changes.revision
         for each in changes.values:
             if each.value is None:
@@ -125,8 +125,8 @@
         self.settings = settings
         self.pool = pool
         calls = StoreCalls(self._call)
-        self._records = _Followed(calls, RECORDS)
-        self._instances = _Followed(calls, INSTANCES)
+        self._records = _WatchedPrefix(calls, RECORDS_KEY)
+        self._instances = _WatchedPrefix(calls, INSTANCES_PREFIX)
 
     async def watch_records(self, wait_s: float) -> bytes | None:
         """Return the set of records if it was published anew, else None.
@@ -136,9 +136,9 @@
         PeerError
             If the store does not answer as it should.
         """
-        if not await self._records.next(wait_s):
+        if not await self._records.update(wait_s):
             return None
-        return self._records.values.get(RECORDS)
+        return self._records.values.get(RECORDS_KEY)
 
     async def watch_instances(self, wait_s: float) -> InstanceList | None:
         """Return the list of instances if it has changed, else None.
@@ -148,7 +148,7 @@
         PeerError
             If the store does not answer as it should.
         """
-        if not await self._instances.next(wait_s):
+        if not await self._instances.update(wait_s):
             return None
         try:
             listed = [
--- a/packages/buckthornwall/src/buckthornwall/platform/codec.py
+++ b/packages/buckthornwall/src/buckthornwall/platform/codec.py
@@ -13,7 +13,7 @@
 
 __all__ = ["PlatformCodec", "decode_request"]
 
-MISDIRECTED = 421
+HTTP_MISDIRECTED = 421
 LOWEST_PRIORITY = 9
 MS_PER_S = 1000.0
 MAX_ID_BYTES = 128
@@ -40,11 +40,11 @@
         target=target,
         host=_host(found.get(b"host", b"")),
         path=target.partition(b"?")[0].decode("latin-1"),
-        headers=_passed_on(incoming.headers),
+        headers=_forwarded_headers(incoming.headers),
         body=incoming.body,
         received_at=incoming.received_at,
         key=found.get(names.KEY, b"").decode("latin-1"),
-        client_timeout_s=_milliseconds(found.get(names.DEADLINE)),
+        client_timeout_s=_timeout_s(found.get(names.DEADLINE)),
         prompt=_prompt(found),
         resume_after=found.get(names.LAST_EVENT_ID, b"").decode("latin-1"),
     )
@@ -54,7 +54,7 @@
     return value.partition(b":")[0].decode("latin-1").lower()
 
 
-def _milliseconds(value: bytes | None) -> float | None:
+def _timeout_s(value: bytes | None) -> float | None:
     if value is None:
         return None
     try:
@@ -63,9 +63,9 @@
         raise Refusal(ResultCode.MALFORMED_BODY, "deadline") from error
 
 
-def _passed_on(headers: Headers) -> Headers:
+def _forwarded_headers(headers: Headers) -> Headers:
     """Return the headers that concern the upstream as the caller sent them."""
-    dropped = names.HOP_BY_HOP | names.SYSTEM_ONLY | _named_by_connection(headers)
+    dropped = names.HOP_BY_HOP | names.ROUTER_ONLY | _named_by_connection(headers)
     return [(name, value) for name, value in headers if name not in dropped]
 
 
@@ -130,10 +130,10 @@
     def decode(self, head: ReplyHead) -> Reply:
         """Return an upstream's reply in the product's words."""
         found = dict(head.headers)
-        misdirected = head.status == MISDIRECTED
+        misdirected = head.status == HTTP_MISDIRECTED
         return Reply(
             status=head.status,
-            headers=self._to_caller(head.headers),
+            headers=self._caller_headers(head.headers),
             request_id=found.get(names.REQUEST_ID, b"").decode("latin-1"),
             attested=names.SIGNATURE in found,
             not_run=misdirected or names.NOT_RUN in found,
@@ -144,7 +144,7 @@
             closes_connection=b"close" in found.get(b"connection", b"").lower(),
         )
 
-    def _to_caller(self, headers: Headers) -> Headers:
+    def _caller_headers(self, headers: Headers) -> Headers:
         dropped = names.HOP_BY_HOP | _named_by_connection(headers)
         return [(name, value) for name, value in headers if name not in dropped]
 
--- a/packages/buckthornwall/src/buckthornwall/platform/names.py
+++ b/packages/buckthornwall/src/buckthornwall/platform/names.py
@@ -28,7 +28,7 @@
 COPY_FROM = b"kv-fetch"
 
 # What only the system may ask of an upstream; a caller's are dropped.
-SYSTEM_ONLY = frozenset(
+ROUTER_ONLY = frozenset(
     {
         TEAM,
         KEY,
--- a/packages/buckthornwall/src/buckthornwall/platform/published.py
+++ b/packages/buckthornwall/src/buckthornwall/platform/published.py
@@ -22,7 +22,7 @@
 
 MS_PER_S = 1000.0
 DEFAULT_TIMEOUT_MS = 30_000.0
-DEFAULT_TARGET_MS = 1_000.0
+DEFAULT_TARGET_LATENCY_MS = 1_000.0
 # What the platform calls the kinds of a route.
 IDEMPOTENT = "idempotent"
 STREAM = "stream"
@@ -41,7 +41,7 @@
     path_prefix: str
     kind: str
     timeout_ms: float = DEFAULT_TIMEOUT_MS
-    target_latency_ms: float = DEFAULT_TARGET_MS
+    target_latency_ms: float = DEFAULT_TARGET_LATENCY_MS
     priority: int = 0
     service: str | None = None
     traffic_split: list[_Split] = []
--- a/packages/buckthornwall/src/buckthornwall/platform/store.py
+++ b/packages/buckthornwall/src/buckthornwall/platform/store.py
@@ -22,7 +22,7 @@
 REGISTRATIONS = "servers/"
 EVACUATIONS = "op/evacuate/"
 # One watch on everything costs half the calls of one for each of the two.
-EVERYTHING = ""
+ALL_KEYS = ""
 MS_PER_S = 1000.0
 # An IP number of version 4 and a port that can be dialled.
 ADDRESS = r"^\d{1,3}(\.\d{1,3}){3}:[1-9]\d{0,4}$"
@@ -42,7 +42,7 @@
     )
 
 
-class _State(Enum):
+class _EngineState(Enum):
     """What an engine says of itself."""
 
     READY = "ready"
@@ -59,7 +59,7 @@
     address: Annotated[str, msgspec.Meta(pattern=ADDRESS)]
     zone: str = ""
     slots: Annotated[int, msgspec.Meta(ge=1)] = 1
-    state: _State = _State.READY
+    state: _EngineState = _EngineState.READY
     cold_remaining_ms: Annotated[float, msgspec.Meta(ge=0)] = 0.0
     models: list[msgspec.Raw] | None = None
     born: int | float | str = ""
@@ -98,7 +98,7 @@
         PeerError
             If the store does not answer as it should.
         """
-        return to_store_update(await self.store.read_all(EVERYTHING), is_snapshot=True)
+        return to_store_update(await self.store.read_all(ALL_KEYS), is_snapshot=True)
 
     async def watch(self, after: int, wait_s: float) -> StoreUpdate:
         """Return what changed after a revision, waiting for it if need be.
@@ -111,7 +111,7 @@
             If the store does not answer as it should.
         """
         return to_store_update(
-            await self.store.watch(EVERYTHING, after, wait_s), is_snapshot=False
+            await self.store.watch(ALL_KEYS, after, wait_s), is_snapshot=False
         )
 
     async def _call(self, target: str, wait_s: float) -> StoreAnswer:
@@ -137,9 +137,9 @@
             connection.close()
         return answer
 
-    async def _connect(self, old: ClientConnection | None) -> ClientConnection:
-        if old is not None:
-            old.close()
+    async def _connect(self, previous: ClientConnection | None) -> ClientConnection:
+        if previous is not None:
+            previous.close()
         timeout_s = self.settings.connect_timeout_ms / MS_PER_S
         return await ClientConnection.connect(self.settings.address, timeout_s)
 
@@ -160,11 +160,11 @@
     """
     update = StoreUpdate(revision=changes.revision, is_snapshot=is_snapshot)
     for each in changes.values:
-        _add(update, each)
+        _add_change(update, each)
     return update
 
 
-def _add(update: StoreUpdate, change: StoredValue) -> None:
+def _add_change(update: StoreUpdate, change: StoredValue) -> None:
     """Put one value into the product's words."""
     update.change_revision = max(update.change_revision, change.revision)
     if change.key == CONFIG_KEY:
@@ -225,18 +225,18 @@
 
 def _entry(upstream: UpstreamId, raw: bytes) -> UpstreamEntry:
     try:
-        found = msgspec.json.decode(raw, type=_Registration)
+        registration = msgspec.json.decode(raw, type=_Registration)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
         raise RecordError(ResultCode.RECORDS_MALFORMED, str(error)) from error
-    is_ready = found.state is _State.READY
+    is_ready = registration.state is _EngineState.READY
     return UpstreamEntry(
         id=upstream,
-        pool=PoolId(found.service),
-        address=found.address,
-        zone=ZoneId(found.zone),
-        slots=found.slots,
+        pool=PoolId(registration.service),
+        address=registration.address,
+        zone=ZoneId(registration.zone),
+        slots=registration.slots,
         state=UpstreamState.READY if is_ready else UpstreamState.LEAVING,
-        cold_s=found.cold_remaining_ms / MS_PER_S,
-        loaded=found.models is None or bool(found.models),
-        generation=str(found.born),
+        cold_s=registration.cold_remaining_ms / MS_PER_S,
+        loaded=registration.models is None or bool(registration.models),
+        generation=str(registration.born),
     )
--- a/packages/buckthornwall/src/buckthornwall/platform/tests/test_client.py
+++ b/packages/buckthornwall/src/buckthornwall/platform/tests/test_client.py
@@ -7,7 +7,7 @@
 from buckthornwall.codes import PeerError
 from buckthornwall.platform import InstanceKind, PlatformClient, PlatformSettings
 from buckthornwall.platform.calls import StoreAnswer, StoreCalls
-from buckthornwall.platform.client import INSTANCES, RECORDS
+from buckthornwall.platform.client import INSTANCES_PREFIX, RECORDS_KEY
 
 
 class ScriptedPool:
@@ -54,9 +54,9 @@
 
 async def test_records_are_read_once_and_watched_then():
     watched = client(
-        page(4, item(RECORDS, b"one", 3)),
+        page(4, item(RECORDS_KEY, b"one", 3)),
         events(4),
-        events(6, item(RECORDS, b"two", 6)),
+        events(6, item(RECORDS_KEY, b"two", 6)),
     )
     assert await watched.watch_records(5.0) == b"one"
     assert await watched.watch_records(5.0) is None
@@ -66,7 +66,9 @@
 
 async def test_lost_history_is_read_anew():
     watched = client(
-        page(4, item(RECORDS, b"one", 3)), (410, {}), page(9, item(RECORDS, b"two", 8))
+        page(4, item(RECORDS_KEY, b"one", 3)),
+        (410, {}),
+        page(9, item(RECORDS_KEY, b"two", 8)),
     )
     await watched.watch_records(5.0)
     assert await watched.watch_records(5.0) == b"two"
@@ -74,10 +76,10 @@
 
 async def test_the_list_follows_changes_and_removals():
     watched = client(
-        page(2, item(INSTANCES + "a", listed("a"), 1), truncated=True),
-        page(3, item(INSTANCES + "b", listed("b"), 2)),
-        events(5, {"key": INSTANCES + "a", "revision": 5, "removed": True}),
-        events(6, item(INSTANCES + "b", listed("b", leaving=True), 6)),
+        page(2, item(INSTANCES_PREFIX + "a", listed("a"), 1), truncated=True),
+        page(3, item(INSTANCES_PREFIX + "b", listed("b"), 2)),
+        events(5, {"key": INSTANCES_PREFIX + "a", "revision": 5, "removed": True}),
+        events(6, item(INSTANCES_PREFIX + "b", listed("b", leaving=True), 6)),
     )
     first = await watched.watch_instances(0.0)
     assert [each.id for each in first.instances] == ["a", "b"]
@@ -89,7 +91,7 @@
 
 @pytest.mark.parametrize("answer", [(503, {}), (429, {}), (200, {"items": []})])
 async def test_an_answer_that_is_none_changes_nothing(answer):
-    watched = client(page(2, item(RECORDS, b"one", 1)), answer, events(2))
+    watched = client(page(2, item(RECORDS_KEY, b"one", 1)), answer, events(2))
     await watched.watch_records(1.0)
     with pytest.raises(PeerError):
         await watched.watch_records(1.0)
--- a/packages/buckthornwall/src/buckthornwall/router/core.py
+++ b/packages/buckthornwall/src/buckthornwall/router/core.py
@@ -44,17 +44,17 @@
 
 __all__ = ["Router"]
 
-HOUSEKEEPING_S = 0.5
+HOUSEKEEPING_INTERVAL_S = 0.5
 # How often a line tells what is believed of the engines' speed.
-LOG_SPEEDS_S = 5.0
+SPEED_LOG_INTERVAL_S = 5.0
 # A request that comes before the first version of the configuration waits for it this
 # long, in seconds, and is then refused as not run: that version is read sooner than a
 # refused caller would come back.
-FIRST_VERSION_S = 0.25
+MAX_FIRST_CONFIG_WAIT_S = 0.25
 # An instance that starts holds requests until a peer has told it which ones crash
 # upstreams, for so many seconds at most.
-FIRST_SYNC_S = 0.5
-SYNC_POLL_S = 0.01
+MAX_CRASH_SYNC_WAIT_S = 0.5
+CRASH_SYNC_POLL_S = 0.01
 OPERATOR_LIMITS = ServerLimits(8192, 0, 3.0, 30.0)
 
 
@@ -77,7 +77,7 @@
         self.incarnation = Incarnation(new_id())
         self.state = PeerState.JOINING
         self.early = EarlyListeners()
-        self.first_version = trio.Event()
+        self.first_config = trio.Event()
         self.callers_listen = False
         self.ready_at = float("-inf")
         self.stopping = trio.Event()
@@ -108,11 +108,11 @@
             clock,
         )
         self.peer_agent = PeerAgent(
-            settings.peers, self.zone, self._beacon, clock, self.quarantine
+            settings.peers, self.zone, self._make_beacon, clock, self.quarantine
         )
         self.peers = self.peer_agent.table
         self.state_sync = StateSync(
-            self.discovery, self.peers, self._beacon, ViewClient(), clock
+            self.discovery, self.peers, self._make_beacon, ViewClient(), clock
         )
         self.staleness_monitor = StalenessMonitor(self.peers, self.table)
         self.callers = HttpServer(clock, self._caller_limits, self._handle_caller)
@@ -125,7 +125,7 @@
         self.view_server = HttpServer(clock, lambda: OPERATOR_LIMITS, self._handle_view)
         self.discovery.may_read = self.state_sync.may_read
         self.discovery.on_change = self._update_adopted
-        self.discovery.on_gone = self.forwarder.forget_upstream
+        self.discovery.on_removed = self.forwarder.forget_upstream
         self.discovery.on_restart = self.forwarder.connections.close_all
         self.discovery.on_call = self._count_store_call
         self.peer_agent.on_work = self._apply_peer_work
@@ -170,7 +170,7 @@
     async def _housekeeping(self) -> None:
         logged_at = self.clock.now()
         while True:
-            await trio.sleep(HOUSEKEEPING_S)
+            await trio.sleep(HOUSEKEEPING_INTERVAL_S)
             self.forwarder.connections.expire()
             fleet = self.fleet()
             self.forwarder.budgets.set_instances(fleet.count)
@@ -178,8 +178,8 @@
             now = self.clock.now()
             self._share_limits(fleet, now)
             self.quarantine.expire(now)
-            self.staleness_monitor.look(now)
-            if now - logged_at >= LOG_SPEEDS_S:
+            self.staleness_monitor.check(now)
+            if now - logged_at >= SPEED_LOG_INTERVAL_S:
                 logged_at = now
                 self.pools.log_speeds()
 
@@ -192,9 +192,9 @@
 
     def fleet(self) -> Digest:
         """Return what is known of all instances together."""
-        return self.peers.fleet_digest(self._beacon(), self.clock.now())
+        return self.peers.fleet_digest(self._make_beacon(), self.clock.now())
 
-    def _beacon(self) -> Beacon:
+    def _make_beacon(self) -> Beacon:
         now = self.clock.now()
         loads = {
             view.id: outstanding_work(view.load, now)
@@ -220,7 +220,7 @@
         )
 
     def _apply_peer_work(self) -> None:
-        own, now = self._beacon(), self.clock.now()
+        own, now = self._make_beacon(), self.clock.now()
         work = self.peers.peer_work(own, now)
         for view in self.pools.views.values():
             view.load.peers = work.get(view.id, NO_PEERS)
@@ -235,7 +235,7 @@
         if self.state is PeerState.JOINING and self.table.number:
             self.state = PeerState.READY
             self.ready_at = self.clock.now()
-            self.first_version.set()
+            self.first_config.set()
             log_event(
                 "ready",
                 number=self.table.number,
@@ -263,18 +263,18 @@
             await self.forwarder.refuse_draining(request, answer)
             return
         if not self.table.number:
-            with trio.move_on_after(FIRST_VERSION_S):
-                await self.first_version.wait()
-        await self._first_sync()
+            with trio.move_on_after(MAX_FIRST_CONFIG_WAIT_S):
+                await self.first_config.wait()
+        await self._wait_for_crash_sync()
         await self.forwarder.forward(request, answer)
 
-    async def _first_sync(self) -> None:
+    async def _wait_for_crash_sync(self) -> None:
         """Wait until this instance knows what others refuse, if it has just started."""
-        until = self.ready_at + FIRST_SYNC_S
+        until = self.ready_at + MAX_CRASH_SYNC_WAIT_S
         while (
             not self.peer_agent.crash_exchange.was_in_sync and self.clock.now() < until
         ):
-            await trio.sleep(SYNC_POLL_S)
+            await trio.sleep(CRASH_SYNC_POLL_S)
 
     async def _handle_readiness(
         self, incoming: IncomingRequest, answer: Answer
--- a/packages/buckthornwall/src/buckthornwall/router/main.py
+++ b/packages/buckthornwall/src/buckthornwall/router/main.py
@@ -19,7 +19,7 @@
 STOP_SIGNALS = (signal.SIGTERM, signal.SIGINT)
 RELOAD_SIGNAL = signal.SIGHUP
 # The file may change without a signal; one look costs a system call.
-LOOK_AT_FILE_S = 2.0
+FILE_POLL_S = 2.0
 
 
 def run_router(settings: RouterSettings, path: Path, early: EarlyListeners) -> None:
@@ -48,13 +48,13 @@
     router.early = early
     with trio.open_signal_receiver(*STOP_SIGNALS, RELOAD_SIGNAL) as signals:
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(_take_signals, signals, router, path)
+            nursery.start_soon(_handle_signals, signals, router, path)
             nursery.start_soon(_watch_file, router, path)
             await router.run()
             nursery.cancel_scope.cancel()
 
 
-async def _take_signals(signals, router: Router, path: Path) -> None:
+async def _handle_signals(signals, router: Router, path: Path) -> None:
     async for number in signals:
         if number == RELOAD_SIGNAL:
             reload_settings(router, path, "signal")
@@ -63,16 +63,16 @@
 
 
 async def _watch_file(router: Router, path: Path) -> None:
-    seen = _stamp(path)
+    seen = _file_stamp(path)
     while True:
-        await trio.sleep(LOOK_AT_FILE_S)
-        now = _stamp(path)
+        await trio.sleep(FILE_POLL_S)
+        now = _file_stamp(path)
         if now != seen:
             seen = now
             reload_settings(router, path, "file")
 
 
-def _stamp(path: Path) -> tuple[int, int] | None:
+def _file_stamp(path: Path) -> tuple[int, int] | None:
     try:
         found = path.stat()
     except OSError:
--- a/packages/buckthornwall/src/buckthornwall/router/operators.py
+++ b/packages/buckthornwall/src/buckthornwall/router/operators.py
@@ -13,7 +13,7 @@
 __all__ = ["answer_operator", "describe_router"]
 
 JSON = [(b"Content-Type", b"application/json")]
-MOST_SHOWN = 50
+MAX_SHOWN_REQUESTS = 50
 
 
 async def answer_operator(
@@ -143,6 +143,6 @@
                 "crashes": record.crashes,
                 "seen_s_ago": round(now - record.last_seen_at, 1),
             }
-            for fingerprint, record in refused[:MOST_SHOWN]
+            for fingerprint, record in refused[:MAX_SHOWN_REQUESTS]
         },
     }
--- a/packages/buckthornwall/src/buckthornwall/router/staleness_monitor.py
+++ b/packages/buckthornwall/src/buckthornwall/router/staleness_monitor.py
@@ -7,7 +7,7 @@
 __all__ = ["StalenessMonitor"]
 
 # A speaker's word is never this old, in seconds, unless something is wrong.
-OVERDUE_S = 1.0
+MAX_STALENESS_S = 1.0
 
 
 class StalenessMonitor:
@@ -24,13 +24,13 @@
     def __init__(self, peers: PeerTable, table: RoutingTable) -> None:
         self.peers = peers
         self.table = table
-        self.overdue_since: float | None = None
+        self.stale_since: float | None = None
 
-    def look(self, now: float) -> None:
+    def check(self, now: float) -> None:
         """Take the time in seconds; a line a change, not one a look."""
         age_s = self.peers.staleness_s(now)
-        if age_s > OVERDUE_S and self.overdue_since is None:
-            self.overdue_since = now - age_s
+        if age_s > MAX_STALENESS_S and self.stale_since is None:
+            self.stale_since = now - age_s
             log_event(
                 "news_overdue",
                 "WARNING",
@@ -38,7 +38,7 @@
                 word_age_ms=round(age_s * 1000),
                 number=self.table.number,
             )
-        elif age_s <= OVERDUE_S and self.overdue_since is not None:
-            silent_ms = round((now - age_s - self.overdue_since) * 1000)
-            self.overdue_since = None
+        elif age_s <= MAX_STALENESS_S and self.stale_since is not None:
+            silent_ms = round((now - age_s - self.stale_since) * 1000)
+            self.stale_since = None
             log_event("news_heard", silent_ms=silent_ms, number=self.table.number)
--- a/packages/buckthornwall/src/buckthornwall/router/state_sync.py
+++ b/packages/buckthornwall/src/buckthornwall/router/state_sync.py
@@ -16,23 +16,23 @@
 
 MS_PER_S = 1000.0
 # How often it is looked whether a peer has newer news.
-ASK_PEERS_S = 0.1
-# An instance that reads the store itself asks a peer only when its own watch
+POLL_INTERVAL_S = 0.1
+# An instance that reads the store itself asks a peer only when its local watch
 # should long have brought the news.
-BEHIND_S = 0.8
+MAX_READER_LAG_S = 0.8
 # When the store has answered nobody for this long, everyone reads; each
-# instance waits a part of a second longer, by its own draw.
-UNREAD_MS = 3000
-UNREAD_SPREAD_MS = 1000
+# instance waits a part of a second longer, by its local draw.
+MAX_READ_AGE_MS = 3000
+READ_AGE_JITTER_MS = 1000
 # Who has heard nothing for this long from the speaker that it goes by reads, whoever
 # speaks: a change has to be in force everywhere 2 s after it was acknowledged.
-UNHEARD_S = 1.5
+MAX_DIGEST_AGE_S = 1.5
 # Between two views an instance waits so many times as long as the first one took, and
 # this many seconds at most: large views, asked for as often as there is news, would
 # fill slow links and hold callers up.
-VIEW_PAUSES = 4.0
-VIEW_PAUSE_LIMIT_S = 0.8
-NEVER_MS = 1_000_000_000
+VIEW_PAUSE_RATIO = 4.0
+MAX_VIEW_PAUSE_S = 0.8
+NEVER_READ_MS = 1_000_000_000
 
 
 class StateSync:
@@ -65,8 +65,8 @@
         self.make_beacon = make_beacon
         self.views = views
         self.clock = clock
-        self.unread_limit_ms = UNREAD_MS + random.uniform(0, UNREAD_SPREAD_MS)
-        self._behind_since: float | None = None
+        self.max_read_age_ms = MAX_READ_AGE_MS + random.uniform(0, READ_AGE_JITTER_MS)
+        self._stale_since: float | None = None
         self._view_failed = False
 
     def may_read(self) -> bool:
@@ -79,37 +79,37 @@
         if self.peers.is_speaker(now) or self._view_failed:
             return True
         staleness_s = self.peers.staleness_s(now)
-        unread_ms = self._fleet().read_age_ms + staleness_s * MS_PER_S
-        return unread_ms > self.unread_limit_ms or staleness_s > UNHEARD_S
+        read_age_ms = self._fleet().read_age_ms + staleness_s * MS_PER_S
+        return read_age_ms > self.max_read_age_ms or staleness_s > MAX_DIGEST_AGE_S
 
     async def run(self) -> None:
         """Look for news at peers until cancelled."""
         while True:
-            await trio.sleep(ASK_PEERS_S)
+            await trio.sleep(POLL_INTERVAL_S)
             fleet = self._fleet()
             self.discovery.receive_store_uptime(fleet.store_uptime_ms / MS_PER_S)
-            if self.should_ask(fleet):
+            if self.should_fetch_view(fleet):
                 started = self.clock.now()
-                await self.take_view(fleet.freshest_peer)
+                await self.fetch_view(fleet.freshest_peer)
                 await trio.sleep(view_pause_s(self.clock.now() - started))
 
-    def should_ask(self, fleet: Digest) -> bool:
+    def should_fetch_view(self, fleet: Digest) -> bool:
         """Tell whether a peer is to be asked for what is newer there."""
-        own = (self.discovery.table.number, self.discovery.change_revision)
-        if (fleet.number, fleet.change_revision) <= own:
-            self._behind_since = None
+        local = (self.discovery.table.number, self.discovery.change_revision)
+        if (fleet.number, fleet.change_revision) <= local:
+            self._stale_since = None
             self._view_failed = False
             return False
         now = self.clock.now()
-        if self._behind_since is None:
-            self._behind_since = now
+        if self._stale_since is None:
+            self._stale_since = now
         reads = self.may_read() and not self.discovery.is_store_unavailable
-        return not reads or now - self._behind_since > BEHIND_S
+        return not reads or now - self._stale_since > MAX_READER_LAG_S
 
     def _fleet(self) -> Digest:
         return self.peers.fleet_digest(self.make_beacon(), self.clock.now())
 
-    async def take_view(self, peer: str) -> None:
+    async def fetch_view(self, peer: str) -> None:
         """Put in force what the best informed peer has."""
         if peer == self.peers.address:
             return
@@ -142,7 +142,7 @@
         return PeerView(
             discovery.revision,
             discovery.change_revision,
-            discovery.raw,
+            discovery.raw_config,
             entries,
             discovery.pools.evacuations.zones(),
         )
@@ -150,7 +150,7 @@
     def read_age_ms(self) -> int:
         """Return how long ago the store last answered here."""
         age_ms = (self.clock.now() - self.discovery.read_at) * MS_PER_S
-        return int(min(age_ms, NEVER_MS))
+        return int(min(age_ms, NEVER_READ_MS))
 
     def describe_freshness(self) -> dict[str, object]:
         """Return which version is in force, and how old the word it rests on is."""
@@ -164,4 +164,4 @@
 
 def view_pause_s(took_s: float) -> float:
     """Return how long to wait after a view that took so many seconds."""
-    return min(VIEW_PAUSES * took_s, VIEW_PAUSE_LIMIT_S)
+    return min(VIEW_PAUSE_RATIO * took_s, MAX_VIEW_PAUSE_S)
--- a/packages/buckthornwall/src/buckthornwall/router/stopping.py
+++ b/packages/buckthornwall/src/buckthornwall/router/stopping.py
@@ -13,8 +13,8 @@
 __all__ = ["stop_gracefully"]
 
 # What is left of the grace when the last answers are cut off.
-LAST_S = 0.6
-LOOK_S = 0.05
+CUTOFF_MARGIN_S = 0.6
+POLL_S = 0.05
 
 
 async def stop_gracefully(router: "Router") -> None:
@@ -35,9 +35,9 @@
         await trio.sleep_forever()
     router.refusing = True
     router.callers.close_idle()
-    limit = started + stop.grace_s - LAST_S
+    limit = started + stop.grace_s - CUTOFF_MARGIN_S
     while router.callers.active and router.clock.now() < limit:
-        await trio.sleep(LOOK_S)
+        await trio.sleep(POLL_S)
         router.callers.close_idle()
     log_event(
         "stopped",
--- a/packages/buckthornwall/src/buckthornwall/router/tests/test_staleness_monitor.py
+++ b/packages/buckthornwall/src/buckthornwall/router/tests/test_staleness_monitor.py
@@ -22,9 +22,9 @@
     ages = iter([0.4, 1.5, 2.0, 0.2, 0.3])
     monkeypatch.setattr(peers, "staleness_s", lambda now: next(ages))
     monkeypatch.setattr(peers, "speaker_address", lambda now: "10.0.0.2:7340")
-    watch = StalenessMonitor(peers, RoutingTable())
+    monitor = StalenessMonitor(peers, RoutingTable())
     for now in (10.0, 11.5, 12.0, 12.5, 13.0):
-        watch.look(now)
+        monitor.check(now)
     assert len(lines) == 2
     assert "event=news_overdue speaker=10.0.0.2:7340 word_age_ms=1500" in lines[0]
     assert "event=news_heard silent_ms=2300" in lines[1]
