--- a/packages/buckthornwall/src/buckthornwall/routing/__init__.py
+++ b/packages/buckthornwall/src/buckthornwall/routing/__init__.py
@@ -1,9 +1,9 @@
-"""Which pool serves a request, and for which team.
+"""Resolution of requests to routes, pools and teams.
 
 ============= ============================================================
-`config`      routes, pools, teams and limits as the operator published them
-`request`     one caller's request in the product's own words
-`table`       the one published version in force, and its look-ups
+`config`      routes, pools, teams and client limits that the operator published
+`request`     a client's request, independent of the wire format
+`table`       the configuration version in force, and look-ups in it
 ============= ============================================================
 """
 
--- a/packages/buckthornwall/src/buckthornwall/routing/config.py
+++ b/packages/buckthornwall/src/buckthornwall/routing/config.py
@@ -1,4 +1,4 @@
-"""What the operator published, in the product's own words."""
+"""The operator's configuration, independent of its published format."""
 
 from dataclasses import dataclass, field
 from enum import Enum
@@ -22,7 +22,7 @@
 
 
 class ResponseMode(Enum):
-    """How an answer reaches the caller."""
+    """How a response is delivered to the client."""
 
     COMPLETE = "whole"
     EVENT_STREAM = "events"
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PoolShare:
-    """A part of a route's traffic; `weight` is relative to its siblings."""
+    """The share of a route's traffic that a pool gets; weights are relative."""
 
     pool: PoolId
     weight: float
@@ -38,12 +38,12 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestRoute:
-    """A path prefix of a host, and the contract for what arrives there.
+    """A path prefix of a host, and the service level of its requests.
 
-    `retryable` tells whether an upstream may run a request again after it
-    may have run once; `resumable` whether an event stream may go on at
-    another upstream. `tier` 0 is the most urgent. Times are in seconds. Requests
-    go to upstreams in `regions` only, to any if there are none.
+    A `retryable` request may be run again after an attempt that may have run.
+    A `resumable` event stream may be continued by another upstream. `max_runs`
+    bounds the attempts that may have run. `tier` 0 is the most urgent. Times are in
+    seconds. Requests go to upstreams in `regions` only; if empty, to any.
     """
 
     id: RouteId
@@ -64,7 +64,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineSpec:
-    """What the operator says of a pool's model engines; memory in tokens."""
+    """Configured capacity of each engine of a pool; KV cache memory in tokens."""
 
     slots: int
     memory_tokens: int
@@ -73,10 +73,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Pool:
-    """Upstreams that serve the same; `engine` is None for a plain service.
+    """A set of equivalent upstreams; `engine` is None for a plain service.
 
-    After a start an upstream is cold for `cold_s` seconds, and bears `cold_per_s`
-    requests a second from all instances together; 0 is any number.
+    For `cold_s` seconds after its start an upstream is cold and accepts `cold_per_s`
+    requests a second from all instances together; 0 means no limit.
     """
 
     id: PoolId
@@ -89,9 +89,9 @@
 
 @dataclass(frozen=True, slots=True)
 class TeamConfig:
-    """A team, its keys, and the tier that goes before its routes' tiers.
+    """A team, its keys and its tier, which orders requests within a route's tier.
 
-    Its requests go to upstreams in `regions` only, to any if there are none.
+    Its requests go to upstreams in `regions` only; if empty, to any.
     """
 
     id: TeamId
@@ -102,9 +102,9 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientLimits:
-    """Bounds on what a caller may send and how long it may take.
+    """Limits on the size and timing of client requests.
 
-    The defaults hold until the operator's first version arrives.
+    The defaults apply until the first configuration version arrives.
     """
 
     max_head_bytes: int = 16_384
@@ -115,7 +115,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PublishedConfig:
-    """One whole version of the operator's configuration."""
+    """One complete version of the operator's configuration."""
 
     number: int
     routes: tuple[RequestRoute, ...] = ()
--- a/packages/buckthornwall/src/buckthornwall/routing/request.py
+++ b/packages/buckthornwall/src/buckthornwall/routing/request.py
@@ -1,4 +1,4 @@
-"""One caller's request, as the decisions see it."""
+"""A client's request, as routing and placement see it."""
 
 from dataclasses import dataclass
 
@@ -6,12 +6,13 @@
 
 __all__ = ["PromptSegment", "PromptShape", "RoutedRequest"]
 
-OUTPUT_TOKEN_COST = 10  # a generated token costs about ten prompt tokens' time
+# A generated token takes about as long as ten prompt tokens.
+OUTPUT_TOKEN_COST = 10
 
 
 @dataclass(frozen=True, slots=True)
 class PromptSegment:
-    """A prompt segment that other prompts may share; `tokens` is its length."""
+    """A segment of a prompt, which other prompts may share."""
 
     id: str
     tokens: int
@@ -19,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PromptShape:
-    """What is known of a generation before it runs."""
+    """What is known of a generation request before it runs."""
 
     model: ModelId
     prompt_tokens: int
@@ -28,20 +29,20 @@
 
     @property
     def memory_tokens(self) -> int:
-        """Return what it takes of an engine's memory, with half of its answer.
+        """Return the expected KV cache use, with half of the maximum output.
 
-        Answers are shorter than their longest by more than half on average.
+        On average, outputs are shorter than half of their maximum.
         """
         return self.prompt_tokens + self.max_output_tokens // 2
 
     @property
     def is_decode_heavy(self) -> bool:
-        """Whether its longest answer takes more work than its prompt."""
+        """Whether the maximum output takes longer than the prompt."""
         return self.max_output_tokens * OUTPUT_TOKEN_COST > self.prompt_tokens
 
     @property
     def affinity_key(self) -> str:
-        """Id of the last segment that other requests may share, or ''."""
+        """Id of the last segment that other prompts may share, or ''."""
         if len(self.segments) >= 2:
             return self.segments[-2].id
         return self.segments[0].id if self.segments else ""
@@ -49,10 +50,10 @@
 
 @dataclass(slots=True)
 class RoutedRequest:
-    """A whole request, read from its caller.
+    """A complete request from a client.
 
-    `headers` are those that pass to an upstream unchanged. `client_timeout_s` is
-    how long the caller waits from `received_at` on, or None if it is silent.
+    `headers` are those that are forwarded unchanged. `client_timeout_s` is how long
+    the client waits after `received_at`, or None if it does not say.
     """
 
     id: str
--- a/packages/buckthornwall/src/buckthornwall/routing/table.py
+++ b/packages/buckthornwall/src/buckthornwall/routing/table.py
@@ -1,4 +1,4 @@
-"""The version in force, and its look-ups."""
+"""The configuration version in force, and look-ups in it."""
 
 import random
 from dataclasses import dataclass
@@ -18,23 +18,23 @@
 
 __all__ = ["Resolution", "RoutingTable"]
 
-# Tiers of routes, and of teams inside one of these, that are told apart: together at
-# most the ten priorities that engines know.
+# Distinct tiers of routes, and of teams within one route tier. Their product must not
+# exceed the ten priorities that engines support.
 ROUTE_TIERS = 3
 TEAM_TIERS = 3
-# Tier of a team that has none of its own.
+# Tier of a team without a configured one.
 DEFAULT_TEAM_TIER = 1
 
 
 @dataclass(frozen=True, slots=True)
 class Resolution:
-    """Where a request may go, for whom, and how urgent it is.
+    """The route, pool and team of a request, and its urgency.
 
     `regions` are those that both its route and its team allow; None is any.
 
-    A route's tier goes before its teams' tiers: `rank` orders by the first and then
-    by the second, and 0 is the most urgent. With the team's first, engines preempted
-    streams of the most urgent route while long drafts of an urgent team ran on.
+    `rank` orders by the tier of the route, then by the tier of the team; 0 is the most
+    urgent. In the reverse order, engines preempt streams of the most urgent route while
+    long drafts of an urgent team keep running.
     """
 
     route: RequestRoute
@@ -46,23 +46,23 @@
 
     @property
     def rank(self) -> int:
-        """Place in the order of urgency over all teams and routes."""
+        """Urgency over all routes and teams; 0 is the most urgent."""
         route_tier = min(self.route.tier, ROUTE_TIERS - 1)
         return route_tier * TEAM_TIERS + min(self.team_tier, TEAM_TIERS - 1)
 
     @property
     def urgent(self) -> bool:
-        """Whether nothing less urgent may go before it."""
+        """Whether no less urgent request may be served before it."""
         return self.route.tier == 0 or self.team_tier < DEFAULT_TEAM_TIER
 
 
 class RoutingTable:
-    """The newest version heard of; an older one is never taken.
+    """The newest configuration version received; older ones are rejected.
 
     Attributes
     ----------
     number : int
-        Version in force; 0 before the first.
+        Configuration version in force; 0 before the first.
     """
 
     def __init__(self) -> None:
@@ -76,7 +76,7 @@
         self._random = random.Random()
 
     def adopt(self, published: PublishedConfig) -> bool:
-        """Put a version in force if it is newer; tell whether it was."""
+        """Adopt a configuration if it is newer; return whether it was."""
         if published.number <= self.number:
             return False
         by_host: dict[str, list[RequestRoute]] = {}
@@ -99,8 +99,8 @@
         Raises
         ------
         Refusal
-            NOT_READY before the first version, UNKNOWN_PATH without a route,
-            UNAUTHENTICATED without a team's key, NO_ENGINE without a pool.
+            NOT_READY before the first configuration, UNKNOWN_PATH without a route,
+            UNAUTHENTICATED without the key of a team, NO_ENGINE without a pool.
         """
         if not self.number:
             raise Refusal(ResultCode.NOT_READY, retry_after_s=0.5)
@@ -138,7 +138,7 @@
 def _allowed_regions(
     route: RequestRoute, team: TeamConfig | None
 ) -> frozenset[RegionId] | None:
-    """Return the regions that a route and a team allow, None for any."""
+    """Return the regions that a route and a team both allow; None for any."""
     bounds = [each.regions for each in (route, team) if each is not None]
     bounds = [regions for regions in bounds if regions]
     return frozenset.intersection(*bounds) if bounds else None
--- a/packages/buckthornwall/src/buckthornwall/routing/tests/test_table.py
+++ b/packages/buckthornwall/src/buckthornwall/routing/tests/test_table.py
@@ -1,4 +1,4 @@
-"""Tests of the choice of route, team and pool."""
+"""Tests of the resolution of requests to route, team and pool."""
 
 import pytest
 
@@ -65,7 +65,7 @@
     return table
 
 
-def test_the_longest_prefix_decides(table):
+def test_longest_path_prefix_wins(table):
     assert table.resolve(request("/a/x")).route.id == "short"
     assert table.resolve(request("/a/b/x")).route.id == "long"
 
@@ -80,23 +80,23 @@
         ("/none/x", "k", ResultCode.NO_ENGINE),
     ],
 )
-def test_what_is_not_allowed_is_refused_with_its_code(table, path, key, code):
+def test_unresolvable_request_is_refused_with_specific_code(table, path, key, code):
     with pytest.raises(Refusal) as caught:
         table.resolve(request(path, key))
     assert caught.value.code is code
 
 
-def test_before_the_first_version_nothing_is_denied():
+def test_request_before_first_configuration_is_not_denied():
     with pytest.raises(Refusal) as caught:
         RoutingTable().resolve(request("/a/x"))
     assert caught.value.code is ResultCode.NOT_READY
 
 
-def test_an_open_route_needs_no_key(table):
+def test_public_route_needs_no_key(table):
     assert table.resolve(request("/open/x", "")).team == ""
 
 
-def test_a_route_goes_before_a_team_and_teams_count_within_it(table):
+def test_rank_orders_by_route_tier_then_team_tier(table):
     ranks = [
         table.resolve(request("/a/b/x", "urgent")).rank,
         table.resolve(request("/a/b/x")).rank,
@@ -107,12 +107,12 @@
     assert len(set(ranks)) == 4
 
 
-def test_an_older_version_is_not_taken(table):
+def test_older_configuration_is_rejected(table):
     assert not table.adopt(PublishedConfig(number=4))
     assert table.resolve(request("/a/x")).number == 5
 
 
-def test_a_split_follows_its_weights(table):
+def test_traffic_split_follows_weights(table):
     shares = (PoolShare(DRAFTS, 90), PoolShare(ORDERS, 10))
     pools = (Pool(DRAFTS, "/", 10), Pool(ORDERS, "/", 10))
     table.adopt(PublishedConfig(6, (route("split", "/s/", shares=shares),), pools))
@@ -121,7 +121,7 @@
 
 
 @pytest.mark.parametrize(
-    ("of_route", "of_team", "allowed"),
+    ("route_regions", "team_regions", "allowed"),
     [
         ((), (), None),
         (("east", "west"), (), {"east", "west"}),
@@ -130,9 +130,11 @@
         (("east",), ("west",), set()),
     ],
 )
-def test_regions_of_route_and_team_both_bind(of_route, of_team, allowed):
+def test_allowed_regions_are_intersection_of_route_and_team(
+    route_regions, team_regions, allowed
+):
     table = RoutingTable()
-    team = TeamConfig(TeamId("one"), ("k",), regions=frozenset(of_team))
-    routes = (route("r", "/a/", regions=of_route),)
+    team = TeamConfig(TeamId("one"), ("k",), regions=frozenset(team_regions))
+    routes = (route("r", "/a/", regions=route_regions),)
     table.adopt(PublishedConfig(1, routes, (Pool(DRAFTS, "/", 10),), (team,)))
     assert table.resolve(request("/a/x")).regions == allowed
