--- a/packages/buckthornwall-standins/src/buckthornwall_standins/peers_sim/peer.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/peers_sim/peer.py
@@ -129,7 +129,7 @@
         live = self.agent.table.fleet_digest(self.make_beacon(), now)
         live = live.live(self.address, self.zone)
         self.fleet_memory.record(live, now)
-        self.pools.rate_limits.update_shares(live, self.fleet_memory.lately(live, now))
+        self.pools.rate_limits.update_shares(live, self.fleet_memory.recent(live, now))
 
     def _apply_peer_work(self) -> None:
         if not self.pools.views:
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/pool_sim/instance.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/pool_sim/instance.py
@@ -116,9 +116,9 @@
             load.waits.end(rank, request, is_served=not request.failed)
             if request.failed:
                 return
-            load.take_report(engine.report(), now)
+            load.record_report(engine.report(), now)
             calibration.record(rank, choice.wait_s, now - sent_at)
-            if choice.is_first and not choice.copy_from:
+            if choice.is_prefill_idle and not choice.copy_from:
                 model.record_first_token(choice.uncached_tokens, now - sent_at)
 
         def on_event(now: float, done: bool) -> None:
--- a/packages/buckthornwall/src/buckthornwall/forwarding/attempt.py
+++ b/packages/buckthornwall/src/buckthornwall/forwarding/attempt.py
@@ -161,7 +161,7 @@
         now = self.clock.now()
         self.choice.view.reachability.record_answered(now)
         if reply.load is not None:
-            self.choice.view.load.take_report(reply.load, now)
+            self.choice.view.load.record_report(reply.load, now)
         if reply.rate_limit is not None and (reply.has_rate_limit or reply.attested):
             self.record_rate_limit(self.choice.view, reply.rate_limit)
 
--- a/packages/buckthornwall/src/buckthornwall/forwarding/forwarder.py
+++ b/packages/buckthornwall/src/buckthornwall/forwarding/forwarder.py
@@ -294,7 +294,7 @@
             self.pools.wait_calibration(pool).record(
                 job.resolution.rank, choice.wait_s, seen_s
             )
-            if choice.is_first and not choice.copy_from:
+            if choice.is_prefill_idle and not choice.copy_from:
                 self.pools.model(pool).record_first_token(
                     choice.uncached_tokens, seen_s
                 )
@@ -374,7 +374,7 @@
         elif result.end is AttemptEnd.NOT_SENT or result.is_misdirected:
             # Another upstream has its address: it is gone, and others are to know.
             verdict = Verdict.UNREACHABLE
-        elif result.end is AttemptEnd.NOT_RUN and choice.busy_share >= 1:
+        elif result.end is AttemptEnd.NOT_RUN and choice.slot_utilization >= 1:
             return  # a full upstream that says so is healthy
         else:
             verdict = Verdict.FAILED
--- a/packages/buckthornwall/src/buckthornwall/forwarding/request_telemetry.py
+++ b/packages/buckthornwall/src/buckthornwall/forwarding/request_telemetry.py
@@ -101,7 +101,7 @@
             fresh_tokens=choice.uncached_tokens,
             copy_from=choice.copy_from,
             unread_before=view.load.pending_prefill_before(job.resolution.rank),
-            oldest_ms=round(choice.oldest_s * 1000),
+            oldest_ms=round(choice.oldest_wait_s * 1000),
             expected_ms=round(expected_s * 1000),
             expected_pause_ms=round(choice.pause_s * 1000),
             in_flight=view.load.in_flight(self.clock.now()),
@@ -136,7 +136,7 @@
             rank=job.resolution.rank,
             waited_ms=round((now - sent_at) * 1000),
             upstream_quiet_ms=_silent_ms(choice, now),
-            busy_share=round(choice.busy_share, 2),
+            busy_share=round(choice.slot_utilization, 2),
             remaining_ms=round((job.deadline - now) * 1000),
         )
 
@@ -188,11 +188,11 @@
         return {}
     return {
         "reason": overload.reason.value,
-        "counted_ms": round(overload.counted_s * 1000),
-        "own_ms": round(overload.own_s * 1000),
-        "oldest_ms": round(overload.oldest_s * 1000),
+        "counted_ms": round(overload.count_based_s * 1000),
+        "own_ms": round(overload.own_prefill_s * 1000),
+        "oldest_ms": round(overload.oldest_wait_s * 1000),
         "target_ms": round(overload.target_s * 1000),
-        "least_ms": round(overload.least_s * 1000),
+        "least_ms": round(overload.min_expected_s * 1000),
     }
 
 
--- a/packages/buckthornwall/src/buckthornwall/peers/messages.py
+++ b/packages/buckthornwall/src/buckthornwall/peers/messages.py
@@ -48,14 +48,14 @@
 
     `requests` are in flight, `pending_prefill` are prompt tokens yet to be prefilled,
     by rank, `pause_sensitive` counts the requests that are streams whose pauses must be
-    short, and `oldest_ms` tells by rank how long the oldest has waited for its first
-    token. `memory` counts the tokens that they take in the engine's memory.
+    short, and `oldest_wait_ms` tells by rank how long the oldest has waited for its
+    first token. `memory` counts the tokens that they take in the engine's memory.
     """
 
     requests: int = 0
     pending_prefill: dict[int, int] = {}
     pause_sensitive: int = 0
-    oldest_ms: dict[int, int] = {}
+    oldest_wait_ms: dict[int, int] = {}
     memory: int = 0
 
 
@@ -153,10 +153,10 @@
 
     The fields are those of its digests; `number` and what follows are over the fleet
     if `is_fleet`, else over its zone. Unless `sequence` is 0, it also tells the work
-    at upstreams and the parts sent there: `packed_work` and `packed_prefixes` are packed
-    (`buckthornwall.peers.packing`), by the places of upstreams in the digest of that
-    sequence; `loads` and `cached_prefixes` are those that its places do not name, and
-    `unreachable`, `crash_checksum` and `limits` are as in a digest.
+    at upstreams and the parts sent there: `packed_work` and `packed_prefixes` are
+    packed (`buckthornwall.peers.packing`), by the places of upstreams in the digest of
+    that sequence; `loads` and `cached_prefixes` are those that its places do not name,
+    and `unreachable`, `crash_checksum` and `limits` are as in a digest.
     """
 
     address: str
--- a/packages/buckthornwall/src/buckthornwall/peers/packing.py
+++ b/packages/buckthornwall/src/buckthornwall/peers/packing.py
@@ -47,7 +47,11 @@
     """
     works = [loads.get(name, NO_WORK) for name in names]
     ranks = sorted(
-        {rank for work in works for rank in (*work.pending_prefill, *work.oldest_ms)}
+        {
+            rank
+            for work in works
+            for rank in (*work.pending_prefill, *work.oldest_wait_ms)
+        }
     )
     ranks = [rank for rank in ranks if 0 <= rank <= MAX_UINT8]
     packed = [
@@ -59,7 +63,7 @@
     ]
     for rank in ranks:
         pending_prefill = (work.pending_prefill.get(rank, 0) for work in works)
-        oldest = (work.oldest_ms.get(rank, 0) for work in works)
+        oldest = (work.oldest_wait_ms.get(rank, 0) for work in works)
         packed.append(
             _uint16s(
                 _units(each, PENDING_PREFILL_UNIT_TOKENS) for each in pending_prefill
@@ -98,7 +102,7 @@
         }
         if not requests[place] and not pending_prefill:
             continue
-        oldest_ms = {
+        oldest_wait_ms = {
             rank: waits[place] * WAIT_UNIT_MS
             for rank, _, waits in columns
             if waits[place]
@@ -107,7 +111,7 @@
             requests[place],
             pending_prefill,
             pause_sensitive[place],
-            oldest_ms,
+            oldest_wait_ms,
             memory[place] * MEMORY_UNIT_TOKENS,
         )
     return loads
--- a/packages/buckthornwall/src/buckthornwall/peers/received_message.py
+++ b/packages/buckthornwall/src/buckthornwall/peers/received_message.py
@@ -13,8 +13,8 @@
 class ReceivedMessage:
     """What was last heard of an instance.
 
-    Silence counts from `last_seen_at`; the message itself is of `sent_at`. `upstreams` are
-    the upstreams of a digest in its order, by which heartbeats tell counts.
+    Silence counts from `last_seen_at`; the message itself is of `sent_at`. `upstreams`
+    are the upstreams of a digest in its order, by which heartbeats tell counts.
     """
 
     message: Beacon | Digest
--- a/packages/buckthornwall/src/buckthornwall/peers/tests/test_packing.py
+++ b/packages/buckthornwall/src/buckthornwall/peers/tests/test_packing.py
@@ -59,7 +59,7 @@
     (work,) = unpack_loads(pack_loads(loads, NAMES), NAMES).values()
     assert (work.requests, work.pause_sensitive) == (65_535, 255)
     assert work.pending_prefill == {1: 65_535 * 32}
-    assert work.oldest_ms == {1: 255 * 20}
+    assert work.oldest_wait_ms == {1: 255 * 20}
     assert work.memory == 65_535 * 256
 
 
@@ -124,8 +124,8 @@
         assert got.pending_prefill.keys() == sent.pending_prefill.keys()
         for rank, tokens in sent.pending_prefill.items():
             assert 0 <= got.pending_prefill[rank] - tokens < 32
-        for rank, age in sent.oldest_ms.items():
-            assert 0 <= got.oldest_ms[rank] - age < 20
+        for rank, age in sent.oldest_wait_ms.items():
+            assert 0 <= got.oldest_wait_ms[rank] - age < 20
 
 
 @given(st.binary(max_size=80))
--- a/packages/buckthornwall/src/buckthornwall/peers/tests/test_peers.py
+++ b/packages/buckthornwall/src/buckthornwall/peers/tests/test_peers.py
@@ -131,9 +131,9 @@
     )
     own = beacon(FIRST, {ENGINE: Work(1, {5: 9}, 0, {2: 40, 5: 300}, 50)})
     told = first.make_digest(own, True, now=0.0).loads[ENGINE]
-    assert (told.oldest_ms, told.memory) == ({2: 40, 5: 700}, 140)
+    assert (told.oldest_wait_ms, told.memory) == ({2: 40, 5: 700}, 140)
     others = first.peer_work(own, 0.1)[ENGINE]
-    assert (others.oldest_s, others.memory) == ({2: 0.04, 5: 0.7}, 90)
+    assert (others.oldest_wait_s, others.memory) == ({2: 0.04, 5: 0.7}, 90)
 
 
 def test_a_member_takes_its_own_part_off_the_sum():
--- a/packages/buckthornwall/src/buckthornwall/peers/work.py
+++ b/packages/buckthornwall/src/buckthornwall/peers/work.py
@@ -16,16 +16,16 @@
 
 def outstanding_work(load: Load, now: float) -> Work:
     """Return what this instance has in flight at an upstream."""
-    oldest_ms = {
+    oldest_wait_ms = {
         rank: int(age * MS_PER_S)
-        for rank, age in load.waits.oldest_s(now).items()
+        for rank, age in load.waits.oldest_wait_s(now).items()
         if age >= MIN_REPORTED_WAIT_S
     }
     return Work(
         load.requests,
         dict(load.pending_prefill),
         load.pause_sensitive,
-        oldest_ms,
+        oldest_wait_ms,
         load.memory,
     )
 
@@ -37,14 +37,14 @@
         pending_prefill = dict(before.pending_prefill)
         for rank, tokens in work.pending_prefill.items():
             pending_prefill[rank] = pending_prefill.get(rank, 0) + tokens
-        oldest_ms = dict(before.oldest_ms)
-        for rank, age in work.oldest_ms.items():
-            oldest_ms[rank] = max(age, oldest_ms.get(rank, 0))
+        oldest_wait_ms = dict(before.oldest_wait_ms)
+        for rank, age in work.oldest_wait_ms.items():
+            oldest_wait_ms[rank] = max(age, oldest_wait_ms.get(rank, 0))
         total[upstream] = Work(
             before.requests + work.requests,
             pending_prefill,
             before.pause_sensitive + work.pause_sensitive,
-            oldest_ms,
+            oldest_wait_ms,
             before.memory + work.memory,
         )
 
@@ -62,11 +62,11 @@
     }
     if not requests and not pending_prefill:
         return NO_PEERS
-    oldest_s = {rank: age / MS_PER_S for rank, age in work.oldest_ms.items()}
+    oldest_wait_s = {rank: age / MS_PER_S for rank, age in work.oldest_wait_ms.items()}
     return PeerLoad(
         requests,
         pending_prefill,
         max(0, work.pause_sensitive - local.pause_sensitive),
-        oldest_s,
+        oldest_wait_s,
         max(0, work.memory - local.memory),
     )
--- a/packages/buckthornwall/src/buckthornwall/pools/decision.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/decision.py
@@ -6,7 +6,7 @@
 
 from buckthornwall.utils import UpstreamId, ZoneId
 
-from .expectation import expected_at_s, expected_s, pace_factor
+from .expectation import calibration_factor, expected_on_engine_s, expected_s
 from .overload import is_late
 from .placement import (
     FREE_TARGET_SHARE,
@@ -75,9 +75,11 @@
         prompt=traits.prompt,
         rank=rank,
         zone=zone,
-        free_wait_s=FREE_TARGET_SHARE * target_s / pace_factor(pools, traits),
+        discounted_wait_s=FREE_TARGET_SHARE
+        * target_s
+        / calibration_factor(pools, traits),
         target_s=target_s,
-        spread_key=traits.id,
+        sampling_key=traits.id,
         model=pools.model(pool.id),
         reserved=frozenset() if traits.pause_sensitive else split.reserved_ids,
         tokens_per_event=pool.engine.tokens_per_event,
@@ -109,5 +111,5 @@
         view
         for view in split.others
         if view.load.in_flight(now) < view.entry.slots
-        and not is_late(expected_at_s(pools, traits, view, now), target_s)
+        and not is_late(expected_on_engine_s(pools, traits, view, now), target_s)
     ]
--- a/packages/buckthornwall/src/buckthornwall/pools/expectation.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/expectation.py
@@ -5,7 +5,7 @@
 from .traits import RequestTraits
 from .view import UpstreamView
 
-__all__ = ["counted_s", "expected_at_s", "expected_s", "pace_factor"]
+__all__ = ["count_based_s", "expected_on_engine_s", "expected_s", "calibration_factor"]
 
 
 def expected_s(pools: PoolTable, traits: RequestTraits, choice: Choice) -> float:
@@ -14,21 +14,21 @@
     Not less than the oldest request before it has waited: in overload the counts
     alone let expect a fraction of it.
     """
-    return max(counted_s(pools, traits, choice), choice.oldest_s)
+    return max(count_based_s(pools, traits, choice), choice.oldest_wait_s)
 
 
-def counted_s(pools: PoolTable, traits: RequestTraits, choice: Choice) -> float:
+def count_based_s(pools: PoolTable, traits: RequestTraits, choice: Choice) -> float:
     """Return the same by the counts alone, in seconds."""
-    return choice.wait_s * pace_factor(pools, traits)
+    return choice.wait_s * calibration_factor(pools, traits)
 
 
-def pace_factor(pools: PoolTable, traits: RequestTraits) -> float:
+def calibration_factor(pools: PoolTable, traits: RequestTraits) -> float:
     """Return what a wait by the counts is multiplied by for a request."""
     resolution = traits.resolution
     return pools.wait_calibration(resolution.pool.id).factor(resolution.rank)
 
 
-def expected_at_s(
+def expected_on_engine_s(
     pools: PoolTable, traits: RequestTraits, view: UpstreamView, now: float
 ) -> float:
     """Return how long the first token is expected to take at an engine."""
@@ -38,5 +38,5 @@
     )
     pending_prefill = uncached + view.load.pending_prefill_before(resolution.rank)
     wait_s = pools.model(resolution.pool.id).prefill_s(pending_prefill)
-    factor = pace_factor(pools, traits)
-    return max(wait_s * factor, view.load.oldest_before_s(resolution.rank, now))
+    factor = calibration_factor(pools, traits)
+    return max(wait_s * factor, view.load.oldest_wait_before_s(resolution.rank, now))
--- a/packages/buckthornwall/src/buckthornwall/pools/fleet_memory.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/fleet_memory.py
@@ -50,7 +50,7 @@
             for name in [n for n, at in seen.items() if now - at > REMEMBERED_S]:
                 del seen[name]
 
-    def lately(self, fleet: Fleet, now: float) -> Fleet:
+    def recent(self, fleet: Fleet, now: float) -> Fleet:
         """Return who was live lately.
 
         Parameters
--- a/packages/buckthornwall/src/buckthornwall/pools/load.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/load.py
@@ -25,7 +25,7 @@
 
     `pending_prefill` gives the prompt tokens still to be read, by rank, and
     `pause_sensitive` how many of the requests are streams whose pauses must be short.
-    `oldest_s` tells, by rank, how long the oldest request has waited for its first
+    `oldest_wait_s` tells, by rank, how long the oldest request has waited for its first
     token, in seconds. `memory` counts the tokens that the requests take in the engine's
     memory.
     """
@@ -33,7 +33,7 @@
     requests: int = 0
     pending_prefill: dict[int, int] = field(default_factory=dict)
     pause_sensitive: int = 0
-    oldest_s: dict[int, float] = field(default_factory=dict)
+    oldest_wait_s: dict[int, float] = field(default_factory=dict)
     memory: int = 0
 
 
@@ -71,7 +71,7 @@
         self._report_at = 0.0
         self._own_at_report = 0
 
-    def take_report(self, report: LoadReport, now: float) -> None:
+    def record_report(self, report: LoadReport, now: float) -> None:
         """Note what came with a reply at `now`."""
         self.report = report
         self._report_at = now
@@ -112,12 +112,12 @@
             return 0
         return self.report.waiting
 
-    def oldest_before_s(self, rank: int, now: float) -> float:
+    def oldest_wait_before_s(self, rank: int, now: float) -> float:
         """Return how long the oldest request before a new one has waited."""
         return max(
             (
                 age
-                for oldest in (self.waits.oldest_s(now), self.peers.oldest_s)
+                for oldest in (self.waits.oldest_wait_s(now), self.peers.oldest_wait_s)
                 for other, age in oldest.items()
                 if other <= rank
             ),
--- a/packages/buckthornwall/src/buckthornwall/pools/overload.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/overload.py
@@ -36,7 +36,7 @@
 
 def is_overloaded(
     expected_s: float,
-    own_s: float,
+    own_prefill_s: float,
     target_s: float,
     views: Iterable[UpstreamView],
     now: float,
@@ -47,7 +47,7 @@
     ----------
     expected_s
         When its first token is expected, in seconds.
-    own_s
+    own_prefill_s
         How much of that its own prompt takes to be read.
     target_s
         When its contract wants it.
@@ -58,7 +58,7 @@
     """
     if not is_late(expected_s, target_s):
         return False
-    if expected_s - own_s <= LEAST_AHEAD_TARGETS * target_s:
+    if expected_s - own_prefill_s <= LEAST_AHEAD_TARGETS * target_s:
         return False
     return is_loaded(views, now)
 
--- a/packages/buckthornwall/src/buckthornwall/pools/placement.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/placement.py
@@ -65,8 +65,8 @@
     """A prompt that is to be placed.
 
     `rank` is its place in the order of urgency, `zone` that of this instance, and
-    `free_wait_s` a wait that leaves its target of `target_s` well in reach; times are
-    in seconds. `spread_key` draws the engines that it is compared at besides its
+    `discounted_wait_s` a wait that leaves its target of `target_s` well in reach; times
+    are in seconds. `sampling_key` draws the engines that it is compared at besides its
     homes. `model` tells how quickly the pool's engines read and generate, and
     `reserved` which of them hold streams whose events of `tokens_per_event` tokens may
     not wait for `max_pause_s`.
@@ -75,9 +75,9 @@
     prompt: PromptShape
     rank: int
     zone: ZoneId
-    free_wait_s: float
+    discounted_wait_s: float
     target_s: float
-    spread_key: str
+    sampling_key: str
     model: EngineModel
     reserved: frozenset[UpstreamId] = frozenset()
     tokens_per_event: int = 1
@@ -89,21 +89,21 @@
     """An upstream, and what is expected there.
 
     `uncached_tokens` is what it has to read of the prompt; `wait_s` the time
-    until the first token by the counts alone, of which `own_s` is its own
-    reading; `oldest_s` how long the oldest request that goes before it has waited
+    until the first token by the counts alone, of which `own_prefill_s` is its own
+    reading; `oldest_wait_s` how long the oldest request that goes before it has waited
     already. `copy_from` is the address of an engine that is likely to hold more of
-    the prompt, or ''. `is_first` tells that no other prompt is known to wait there,
-    and `pause_s` is the longest pause that is expected beside what is.
+    the prompt, or ''. `is_prefill_idle` tells that no other prompt is known to wait
+    there, and `pause_s` is the longest pause that is expected beside what is.
     """
 
     view: UpstreamView
     uncached_tokens: int
     wait_s: float
-    own_s: float
-    busy_share: float
-    oldest_s: float = 0.0
+    own_prefill_s: float
+    slot_utilization: float
+    oldest_wait_s: float = 0.0
     copy_from: str = ""
-    is_first: bool = False
+    is_prefill_idle: bool = False
     pause_s: float = 0.0
 
 
@@ -147,19 +147,20 @@
     source = holder if holders is None else _holder(holders, wanted.prompt)
     offers = [
         _offer(by_id[name], wanted, place, now)
-        for place, name in _compared(homes, holder.id, wanted.spread_key)
+        for place, name in _compared(homes, holder.id, wanted.sampling_key)
     ]
     best = min(offers, key=lambda offer: offer.cost)
     load = best.view.load
     pending_prefill = load.total_pending_prefill()
-    own_s = wanted.model.prefill_s(best.uncached_tokens)
+    own_prefill_s = wanted.model.prefill_s(best.uncached_tokens)
     return Choice(
         best.view,
         best.uncached_tokens,
-        own_s + wanted.model.prefill_s(load.pending_prefill_before(wanted.rank)),
-        own_s,
-        _busy_share(best.view, now),
-        load.oldest_before_s(wanted.rank, now),
+        own_prefill_s
+        + wanted.model.prefill_s(load.pending_prefill_before(wanted.rank)),
+        own_prefill_s,
+        _slot_utilization(best.view, now),
+        load.oldest_wait_before_s(wanted.rank, now),
         _copy_from(best.view, source, wanted.prompt),
         pending_prefill == 0,
         wanted.model.pause_s(
@@ -187,9 +188,11 @@
     return "" if missing < LEAST_COPIED_TOKENS else holder.entry.address
 
 
-def _compared(homes: list[str], holder: str, spread_key: str) -> list[tuple[int, str]]:
+def _compared(
+    homes: list[str], holder: str, sampling_key: str
+) -> list[tuple[int, str]]:
     """Return the engines to compare, each with its place in the order of homes."""
-    drawn = rendezvous_order(spread_key, homes[HOMES:])[:DRAWN]
+    drawn = rendezvous_order(sampling_key, homes[HOMES:])[:DRAWN]
     chosen = {*homes[:HOMES], holder, *drawn}
     return [(place, name) for place, name in enumerate(homes) if name in chosen]
 
@@ -206,7 +209,7 @@
     ahead_s = _ahead_s(view, wanted, now)
     if _is_full(view, prompt):
         ahead_s += FULL_S
-    ahead_s -= (1 - FREE_WEIGHT) * min(ahead_s, wanted.free_wait_s)
+    ahead_s -= (1 - FREE_WEIGHT) * min(ahead_s, wanted.discounted_wait_s)
     cost = ahead_s + wanted.model.prefill_s(uncached + (weight - 1) * missing)
     if view.entry.zone != wanted.zone:
         cost += ZONE_S
@@ -243,7 +246,7 @@
     return reading_s + steps * wanted.model.decode_step_s + cold_s
 
 
-def _busy_share(view: UpstreamView, now: float) -> float:
+def _slot_utilization(view: UpstreamView, now: float) -> float:
     return view.load.in_flight(now) / max(1, view.entry.slots)
 
 
@@ -255,9 +258,9 @@
         return None
 
     def cost(view: UpstreamView) -> float:
-        share = _busy_share(view, now)
+        share = _slot_utilization(view, now)
         share += SERVICE_COLD_SHARE * (view.cold_s(now) > 0)
         return share + SERVICE_ZONE_SHARE * (view.entry.zone != zone)
 
     view = min(views, key=cost)
-    return Choice(view, 0, 0.0, 0.0, _busy_share(view, now))
+    return Choice(view, 0, 0.0, 0.0, _slot_utilization(view, now))
--- a/packages/buckthornwall/src/buckthornwall/pools/refusal.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/refusal.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from .expectation import counted_s, expected_at_s, expected_s
+from .expectation import count_based_s, expected_on_engine_s, expected_s
 from .overload import is_hopeless, is_loaded, is_overloaded, retry_after_s
 from .placement import Choice
 from .table import PoolTable
@@ -30,19 +30,19 @@
 class Overload:
     """Why a request is refused, and when it is to come back; all in seconds.
 
-    `expected_s` is when its first token is expected at the engine chosen, `counted_s`
-    the same by the counts alone, `own_s` the reading of its own prompt, and `oldest_s`
-    how long the oldest request before it has waited. `least_s` is what is expected at
-    the engine of the pool where it is least.
+    `expected_s` is when its first token is expected at the engine chosen,
+    `count_based_s` the same by the counts alone, `own_prefill_s` the reading of its own
+    prompt, and `oldest_wait_s` how long the oldest request before it has waited.
+    `min_expected_s` is what is expected at the engine of the pool where it is least.
     """
 
     reason: RefusalReason
     expected_s: float
-    counted_s: float
-    own_s: float
-    oldest_s: float
+    count_based_s: float
+    own_prefill_s: float
+    oldest_wait_s: float
     target_s: float
-    least_s: float
+    min_expected_s: float
     retry_after_s: float
 
 
@@ -73,11 +73,13 @@
     return Overload(
         reason=reason,
         expected_s=wait_s,
-        counted_s=counted_s(pools, traits, choice),
-        own_s=choice.own_s,
-        oldest_s=choice.oldest_s,
+        count_based_s=count_based_s(pools, traits, choice),
+        own_prefill_s=choice.own_prefill_s,
+        oldest_wait_s=choice.oldest_wait_s,
         target_s=resolution.route.target_s,
-        least_s=min(expected_at_s(pools, traits, view, now) for view in usable),
+        min_expected_s=min(
+            expected_on_engine_s(pools, traits, view, now) for view in usable
+        ),
         retry_after_s=retry_after_s(wait_s),
     )
 
@@ -106,12 +108,14 @@
     target_s = traits.resolution.route.target_s
     pool, regions = traits.resolution.pool.id, traits.resolution.regions
     # With nothing before it a prompt would only be refused for its own length.
-    is_alone = choice.wait_s <= choice.own_s and not choice.oldest_s
-    if is_alone or not is_overloaded(wait_s, choice.own_s, target_s, usable, now):
+    is_alone = choice.wait_s <= choice.own_prefill_s and not choice.oldest_wait_s
+    if is_alone or not is_overloaded(
+        wait_s, choice.own_prefill_s, target_s, usable, now
+    ):
         is_scarce = is_loaded(usable, now) or pools.is_limited(pool, regions)
         should_wait = is_scarce and _should_defer(pools, traits, now)
         return RefusalReason.YIELDS if should_wait else None
-    if choice.busy_share >= 1 or is_hopeless(wait_s, target_s):
+    if choice.slot_utilization >= 1 or is_hopeless(wait_s, target_s):
         return RefusalReason.LATE
     return None if has_deficit(pools, traits, now) else RefusalReason.LATE
 
--- a/packages/buckthornwall/src/buckthornwall/pools/tests/test_cold.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/tests/test_cold.py
@@ -125,7 +125,7 @@
 
 def test_who_is_cut_off_still_counts_the_others(memory):
     memory.record(ALONE, 12.0)
-    lately = memory.lately(ALONE, 12.0)
+    lately = memory.recent(ALONE, 12.0)
     assert len(lately.members) == 8
     assert lately.instances == 40
     assert lately.zones == ("other", "z")
@@ -134,12 +134,12 @@
 def test_who_was_gone_for_long_counts_no_longer(memory):
     now = 11.0 + REMEMBERED_S
     memory.record(ALONE, now)
-    lately = memory.lately(ALONE, now)
+    lately = memory.recent(ALONE, now)
     assert (lately.members, lately.instances) == (ALONE.members, 1)
 
 
 def test_who_starts_and_knows_of_nobody_has_no_part():
     memory = FleetMemory([ZONE], 0.0)
     memory.record(ALONE, 0.5)
-    assert memory.lately(ALONE, 0.5).members == ()
-    assert memory.lately(ALONE, SETTLE_S).members == ALONE.members
+    assert memory.recent(ALONE, 0.5).members == ()
+    assert memory.recent(ALONE, SETTLE_S).members == ALONE.members
--- a/packages/buckthornwall/src/buckthornwall/pools/tests/test_load.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/tests/test_load.py
@@ -16,7 +16,7 @@
 
 def test_an_old_report_gives_way_to_own_counts(table, clock):
     load = table.views["a"].load
-    load.take_report(LoadReport(4, 9, 4), clock.now())
+    load.record_report(LoadReport(4, 9, 4), clock.now())
     assert load.in_flight(clock.now()) == 13
     clock.time += 5
     assert load.in_flight(clock.now()) == 0
--- a/packages/buckthornwall/src/buckthornwall/pools/tests/test_placement.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/tests/test_placement.py
@@ -111,7 +111,7 @@
 
 def test_a_service_with_fewer_slots_in_use_is_taken(table, clock):
     for name, running in (("a", 3), ("b", 1), ("c", 2)):
-        table.views[name].load.take_report(LoadReport(running, 0, 4), clock.now())
+        table.views[name].load.record_report(LoadReport(running, 0, 4), clock.now())
     views = table.usable(POOL, set())
     assert choose_service(views, ZONE, clock.now()).view.id == "b"
 
--- a/packages/buckthornwall/src/buckthornwall/pools/tests/test_waits.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/tests/test_waits.py
@@ -25,10 +25,10 @@
     waits.begin(2, "a", 1.0)
     waits.begin(5, "b", 2.0)
     waits.begin(5, "c", 3.0)
-    assert waits.oldest_s(4.0) == {2: 3.0, 5: 2.0}
+    assert waits.oldest_wait_s(4.0) == {2: 3.0, 5: 2.0}
     waits.end(5, "b", is_served=True)
     waits.end(2, "a", is_served=False)
-    assert waits.oldest_s(4.0) == {5: 1.0}
+    assert waits.oldest_wait_s(4.0) == {5: 1.0}
 
 
 def test_who_was_overtaken_says_nothing_of_those_that_come():
@@ -38,9 +38,9 @@
     waits.begin(5, "b", 1.0)
     waits.begin(5, "c", 2.0)
     waits.end(5, "b", is_served=True)
-    assert waits.oldest_s(9.0) == {5: 7.0}
+    assert waits.oldest_wait_s(9.0) == {5: 7.0}
     waits.end(5, "c", is_served=True)
-    assert waits.oldest_s(9.0) == {}
+    assert waits.oldest_wait_s(9.0) == {}
     waits.end(5, "lost", is_served=False)
 
 
@@ -49,7 +49,7 @@
     waits.begin(5, "a", 0.0)
     waits.begin(5, "b", 1.0)
     waits.end(5, "b", is_served=False)
-    assert waits.oldest_s(2.0) == {5: 2.0}
+    assert waits.oldest_wait_s(2.0) == {5: 2.0}
 
 
 @pytest.fixture
@@ -72,9 +72,9 @@
 
 def test_a_choice_tells_how_long_others_wait_there(table, clock):
     home = choose(table, clock, 5).view
-    home.load.peers = PeerLoad(oldest_s={5: 2.0})
+    home.load.peers = PeerLoad(oldest_wait_s={5: 2.0})
     choice = choose(table, clock, 5)
-    assert (choice.view, choice.oldest_s) == (home, 2.0)
+    assert (choice.view, choice.oldest_wait_s) == (home, 2.0)
 
 
 def test_less_urgent_requests_that_wait_delay_nobody_more_urgent(table, clock):
@@ -83,5 +83,5 @@
     clock.time += 3.0
     choice = choose(table, clock, 0)
     assert choice.view is home
-    assert choice.oldest_s == 0.0
-    assert home.load.oldest_before_s(5, clock.now()) == 3.0
+    assert choice.oldest_wait_s == 0.0
+    assert home.load.oldest_wait_before_s(5, clock.now()) == 3.0
--- a/packages/buckthornwall/src/buckthornwall/pools/waits.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/waits.py
@@ -41,7 +41,7 @@
                 break
             del waiting[other]
 
-    def oldest_s(self, now: float) -> dict[int, float]:
+    def oldest_wait_s(self, now: float) -> dict[int, float]:
         """Return by rank how long the oldest request has waited, in seconds."""
         return {
             rank: now - next(iter(waiting.values()))
--- a/packages/buckthornwall/src/buckthornwall/router/core.py
+++ b/packages/buckthornwall/src/buckthornwall/router/core.py
@@ -186,7 +186,7 @@
     def _share_limits(self, fleet: Digest, now: float) -> None:
         live = fleet.live(self.settings.peers.listen, self.zone)
         self.fleet_memory.record(live, now)
-        self.pools.rate_limits.update_shares(live, self.fleet_memory.lately(live, now))
+        self.pools.rate_limits.update_shares(live, self.fleet_memory.recent(live, now))
 
     # Messages
 
