--- a/packages/buckthornwall/src/buckthornwall/pools/entry.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/entry.py
@@ -1,4 +1,4 @@
-"""An upstream as it is registered."""
+"""Registrations of upstreams."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -10,7 +10,7 @@
 
 
 class UpstreamState(Enum):
-    """Whether an upstream takes new work."""
+    """Whether an upstream accepts new requests."""
 
     READY = "ready"
     LEAVING = "leaving"
@@ -18,8 +18,9 @@
 
 @dataclass(frozen=True, slots=True)
 class UpstreamEntry:
-    """One registration; `cold_s` is how much longer it starts up slowly.
+    """One registration of an upstream.
 
+    `cold_s` is how much longer its cold start lasts, in seconds.
     `generation` changes when the upstream restarts under the same id; it is empty
     where the registration does not name one.
     """
--- a/packages/buckthornwall/src/buckthornwall/pools/evacuation.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/evacuation.py
@@ -1,8 +1,8 @@
-"""Which availability zones are evacuated.
+"""Evacuated availability zones.
 
-The operator's records reach an instance by several ways: its own watch, its own
-complete reads, and other instances, each of which may be behind another. The newest
-record on a zone holds, by its revision, so that an old snapshot undoes nothing.
+An instance receives the operator's records from its own watch, from its own complete
+reads and from its peers, and each of these sources may lag behind another. The record
+with the highest revision is in force for a zone, so an old snapshot undoes nothing.
 """
 
 from dataclasses import dataclass
@@ -19,18 +19,18 @@
 
 
 class Evacuations:
-    """The newest record on each zone."""
+    """The newest record of each zone."""
 
     def __init__(self) -> None:
         self._newest: dict[ZoneId, _Status] = {}
 
     def is_evacuated(self, zone: ZoneId) -> bool:
-        """Tell whether upstreams of a zone get no new requests."""
+        """Return whether upstreams of a zone get no new requests."""
         status = self._newest.get(zone)
         return status is not None and status.is_evacuated
 
     def zones(self) -> dict[ZoneId, int]:
-        """Return the evacuated zones, and the revisions of their records."""
+        """Return the evacuated zones with the revisions of their records."""
         return {
             zone: status.revision
             for zone, status in self._newest.items()
@@ -38,7 +38,7 @@
         }
 
     def record(self, zone: ZoneId, revision: int, is_evacuated: bool) -> bool:
-        """Record what is newer than known; tell whether it changes anything."""
+        """Record a newer status of a zone; return whether `is_evacuated` changed."""
         before = self._newest.get(zone)
         if before is not None and revision <= before.revision:
             return False
@@ -48,14 +48,14 @@
     def record_absent(
         self, present: set[ZoneId] | dict[ZoneId, int], revision: int
     ) -> list[ZoneId]:
-        """Record a snapshot's evacuated zones: all others are not.
+        """End the evacuation of all zones without a record in a snapshot.
 
         Parameters
         ----------
         present
-            Zones with a record, whether it can be read or not.
+            Zones with a record, including records that cannot be read.
         revision
-            That of the store as of the snapshot.
+            Revision of the store as of the snapshot.
 
         Returns
         -------
--- a/packages/buckthornwall/src/buckthornwall/pools/health.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/health.py
@@ -1,8 +1,8 @@
-"""Which upstreams fail requests, whatever their health check says.
+"""Outlier ejection of upstreams that fail requests despite their health check.
 
-An upstream is set aside when it cannot be reached, or when it fails clearly
-more of its requests than the rest of its pool. It comes back by trial: after
-a pause that doubles, one request may go there, and its end decides.
+An upstream is ejected when it cannot be reached, or when it fails clearly more of its
+requests than the rest of its pool. It is readmitted by a probe: after an ejection time
+that doubles, one request may be sent to it, and its outcome decides.
 """
 
 from collections import deque
@@ -10,14 +10,14 @@
 
 __all__ = ["Health", "Verdict"]
 
-MAX_RESULTS = 20  # results that are looked at
-MIN_RESULTS = 5  # fewer say nothing
-RESULT_TTL_S = 6.0  # older results say nothing
-EJECTION_FAILURE_SHARE = 0.3  # set aside above this ...
-EJECTION_MARGIN = 0.15  # ... and this much above the rest of the pool
+MAX_RESULTS = 20
+MIN_RESULTS = 5  # fewer are not conclusive
+RESULT_TTL_S = 6.0
+EJECTION_FAILURE_SHARE = 0.3  # ejected above this ...
+EJECTION_MARGIN = 0.15  # ... if also this much above the rest of the pool
 BASE_EJECTION_S = 0.4
 MAX_EJECTION_S = 4.0
-PROBE_TIMEOUT_S = 3.0  # a trial without an end frees the place for another
+PROBE_TIMEOUT_S = 3.0  # a probe without an outcome then allows another
 
 
 class Verdict(Enum):
@@ -29,7 +29,7 @@
 
 
 class Health:
-    """The recent results of one upstream; a pure state machine."""
+    """Recent results and ejection state of one upstream; a pure state machine."""
 
     def __init__(self) -> None:
         self.results: deque[tuple[float, bool]] = deque(maxlen=MAX_RESULTS)
@@ -39,11 +39,11 @@
 
     @property
     def ejected(self) -> bool:
-        """Whether it is set aside, be it for a trial or not."""
+        """Whether the upstream is ejected, with or without a probe under way."""
         return self.ejection_s > 0
 
     def allows_request(self, now: float) -> bool:
-        """Tell whether a request may go there."""
+        """Return whether a request may be sent to the upstream."""
         if not self.ejected:
             return True
         if now < self.ejected_until:
@@ -51,7 +51,7 @@
         return self.probe_sent_at is None or now - self.probe_sent_at > PROBE_TIMEOUT_S
 
     def record_sent(self, now: float) -> None:
-        """Count a request that goes there; it is a trial if set aside."""
+        """Record a request that is sent; it is a probe if the upstream is ejected."""
         if self.ejected:
             self.probe_sent_at = now
 
@@ -66,21 +66,21 @@
     def record_outcome(
         self, verdict: Verdict, pool_failure_share: float, now: float
     ) -> bool:
-        """Take the end of a request.
+        """Record the outcome of a request.
 
         Parameters
         ----------
         verdict
-            How it ended.
+            How the upstream handled it.
         pool_failure_share
-            The share of failed requests in the rest of the pool.
+            Share of failed requests in the rest of the pool.
         now
-            The time in seconds.
+            Time in seconds.
 
         Returns
         -------
         bool
-            Whether the upstream was set aside or came back by it.
+            Whether this ejected or readmitted the upstream.
         """
         was_ejected = self.ejected
         failed = verdict is not Verdict.GOOD
--- a/packages/buckthornwall/src/buckthornwall/pools/limit_queue.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/limit_queue.py
@@ -1,4 +1,4 @@
-"""Who gets the next token where all upstreams of a pool have a rate limit."""
+"""Order of waiting requests where all upstreams of a pool have a rate limit."""
 
 import itertools
 from collections.abc import Iterator
@@ -6,19 +6,19 @@
 
 __all__ = ["LimitQueue", "QueuePosition"]
 
-# One in so many tokens goes to the least urgent request that waits, so that no rank
+# One in this many tokens goes to the least urgent waiting request, so that no rank
 # starves.
 LEAST_URGENT_EVERY = 10
 
-# A rank counts as present for so many seconds after its last request.
+# A rank counts as present for this many seconds after its last request.
 RANK_PRESENCE_S = 10.0
 
-# The rank of a request, and the number of its arrival.
+# Rank of a request, and its arrival number.
 QueuePosition = tuple[int, int]
 
 
 class LimitQueue:
-    """Requests that wait at this instance for a token of one pool."""
+    """Requests waiting at this instance for a token of one pool."""
 
     def __init__(self) -> None:
         self._waiting: set[QueuePosition] = set()
@@ -27,11 +27,11 @@
         self._last_arrivals: dict[int, float] = {}
 
     def record_arrival(self, rank: int, now: float) -> None:
-        """Record that a request of a rank came."""
+        """Record the arrival of a request of a rank."""
         self._last_arrivals[rank] = now
 
     def is_most_urgent(self, rank: int, now: float) -> bool:
-        """Tell whether no more urgent request came lately."""
+        """Return whether no more urgent request arrived recently."""
         return not any(
             other < rank and now - at <= RANK_PRESENCE_S
             for other, at in self._last_arrivals.items()
@@ -48,11 +48,11 @@
             self._waiting.discard(position)
 
     def count_ahead(self, rank: int) -> int:
-        """Return how many go before a request of a rank that comes now."""
+        """Return how many waiting requests precede a new request of a rank."""
         return sum(1 for other, _ in self._waiting if other <= rank)
 
     def is_next(self, position: QueuePosition) -> bool:
-        """Tell whether the next token is for a request that waits."""
+        """Return whether the next token goes to the request at a position."""
         if (self._granted + 1) % LEAST_URGENT_EVERY:
             return position == min(self._waiting)
         least_urgent = max(rank for rank, _ in self._waiting)
@@ -61,5 +61,5 @@
         )
 
     def record_grant(self) -> None:
-        """Count a token that a request which waited got."""
+        """Count a token granted to a request that waited."""
         self._granted += 1
--- a/packages/buckthornwall/src/buckthornwall/pools/limit_share.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/limit_share.py
@@ -1,8 +1,9 @@
-"""Which instances send to an upstream with a rate limit, and how much each.
+"""Shares of instances in the rate limits of upstreams.
 
-No instance asks another: who sends is drawn by a hash over those that are live, as all
-know them. With equal parts for all, one request a second would be a request in 200 s at
-each of 200 instances, and what each may send at once would be 200.
+Instances do not negotiate: senders are selected by rendezvous hashing over the live
+instances, which all instances know. With equal shares, each of 200 instances could send
+an upstream of one request a second a request every 200 s, and all their bursts together
+would be 200 requests.
 """
 
 import math
@@ -12,22 +13,22 @@
 
 __all__ = ["Fleet", "UpstreamLimit", "local_rates"]
 
-# Part of the rate that is used: instances know of each other a moment late.
+# Used share of a limit, since instances learn of each other with a delay.
 USED_SHARE = 0.9
-# An upstream that names less is sent so many requests a second nevertheless: only an
-# answer shows that it takes more again.
+# Requests a second to an upstream that advertises less, since only a response shows
+# that it accepts more again.
 MIN_PER_S = 0.1
-# After so many seconds without an answer to anybody others are drawn: those that were
-# have no requests for it.
+# Senders are reselected after this many seconds without a response to any instance,
+# since the selected ones have no requests for the upstream.
 RESELECTION_S = 10.0
 
 
 @dataclass(frozen=True, slots=True)
 class Fleet:
-    """Who is live, as this instance knows it.
+    """Live instances, as this instance knows them.
 
-    `zones` are all zones, `members` the addresses of this instance's own zone, and
-    `instances` their number in all zones.
+    `zones` are all zones, `members` the addresses of instances in the local zone, and
+    `instances` the number of instances in all zones.
     """
 
     address: str
@@ -39,34 +40,34 @@
 
 @dataclass(frozen=True, slots=True)
 class UpstreamLimit:
-    """An upstream takes `per_s` requests a second, and said so `age_s` ago."""
+    """An upstream accepts `per_s` requests a second, as advertised `age_s` ago."""
 
     upstream: UpstreamId
     per_s: float
     age_s: float
 
     def senders(self, instances: float) -> int:
-        """Return how many instances send to it."""
+        """Return how many instances send to the upstream."""
         return max(1, int(min(instances, math.floor(self.per_s))))
 
     @property
     def key(self) -> str:
-        """What instances are drawn by."""
+        """Key of the hash that selects the senders."""
         return f"{self.upstream}/{int(self.age_s // RESELECTION_S)}"
 
 
 def local_rates(limits: list[UpstreamLimit], fleet: Fleet) -> dict[UpstreamId, float]:
-    """Return how many requests a second this instance may send, 0 for most.
+    """Return how many requests a second this instance may send, 0 for most upstreams.
 
-    Whoever has been drawn least often so far is drawn first, or one instance would have
-    parts in most upstreams, and another in none.
+    Instances with the fewest shares so far are selected first. Otherwise one instance
+    would have shares in most upstreams, and another in none.
 
     Parameters
     ----------
     limits
-        All that upstreams name now.
+        All limits that are in force.
     fleet
-        Who is live.
+        The instances that share them.
     """
     assigned = dict.fromkeys(fleet.members, 0)
     rates = {}
@@ -83,7 +84,7 @@
 
 
 def _local_zone_senders(key: str, senders: int, fleet: Fleet) -> int:
-    """Return how many of so many senders are of this instance's zone."""
+    """Return how many of the senders are in the local zone."""
     zones = rendezvous_order(key, fleet.zones)
     if fleet.zone not in zones:
         return 0
--- a/packages/buckthornwall/src/buckthornwall/pools/rate_limit.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/rate_limit.py
@@ -1,10 +1,11 @@
-"""The rate of requests that an upstream takes from all instances together.
-
-It names one in its answers, or is cold: it has just started, and bears little for a
-while. An instance sends by a token bucket of its own part of it (`limit_share`), which
-is nothing for most. What one instance learns from an answer it reports to the others;
-the newest report holds, however old: were a limit to lapse where nobody sends, all
-instances would send at once.
+"""Rate limit of an upstream for the requests of all instances together.
+
+An upstream advertises a limit in its responses, or has one while it is cold, that is,
+accepts only few requests for a while after its start. Each instance sends by a token
+bucket of its share of the limit (`limit_share`), which is 0 for most instances. An
+instance reports to its peers what it learns from a response. The newest report stays in
+force however old it is: if a limit expired where no instance sends, all instances would
+send at once.
 """
 
 import math
@@ -25,14 +26,14 @@
 
 UNLIMITED = math.inf
 MS_PER_S = 1000.0
-# Seconds for which others are told that an upstream names no limit any longer.
+# Seconds for which peers are told that an upstream no longer advertises a limit.
 LIFTED_LIMIT_REPORT_S = 10.0
-# What may come at once, in seconds of the own part; one request at least.
+# Size of a burst in seconds of the local share; one request at least.
 BURST_S = 0.25
 
 
 class LimitReport(msgspec.Struct, array_like=True, frozen=True):
-    """What an upstream said: requests a second, or None; and how long ago."""
+    """Requests a second that an upstream advertised (None: no limit), and its age."""
 
     per_s: Annotated[float, msgspec.Meta(ge=0)] | None
     age_ms: Annotated[int, msgspec.Meta(ge=0)]
@@ -47,7 +48,7 @@
     Parameters
     ----------
     parts
-        Reports, and how many seconds ago they were sent.
+        Reports, and how many seconds ago each set of them was sent.
     """
     newest: LimitReports = {}
     for reports, sent_s_ago in parts:
@@ -60,20 +61,20 @@
 
 
 class RateLimit:
-    """What one upstream takes, and what this instance may send it.
+    """Rate limit of one upstream, and this instance's share of it.
 
     Attributes
     ----------
     per_s : float
-        Requests a second that it names; infinite without a limit.
+        Requests a second that the upstream advertises; infinite without a limit.
     advertised_at : float
-        When the upstream said so, in seconds, to whichever instance.
+        When the upstream advertised it, in seconds, to any instance.
     cold_per_s : float
-        Requests a second that it bears while it is cold; infinite if any number.
+        Requests a second that it accepts while cold; infinite without a limit.
     cold_until : float
-        When it is cold no longer, in seconds.
+        End of its cold start, in seconds.
     local_per_s : float
-        The part of this instance.
+        Share of this instance, in requests a second.
     """
 
     def __init__(self) -> None:
@@ -90,27 +91,27 @@
 
     @property
     def advertises_limit(self) -> bool:
-        """Whether the upstream names a limit."""
+        """Whether the upstream advertises a limit."""
         return self.per_s < UNLIMITED
 
     def is_cold(self, now: float) -> bool:
-        """Tell whether it bears little since it has just started."""
+        """Return whether it accepts only few requests since it has just started."""
         return now < self.cold_until and self.cold_per_s < UNLIMITED
 
     def is_limited(self, now: float) -> bool:
-        """Tell whether it takes only so many requests a second."""
+        """Return whether it accepts a limited rate of requests."""
         return self.advertises_limit or self.is_cold(now)
 
-    # What it says
+    # Advertised limits
 
     def record_answer(self, per_s: float, now: float) -> bool:
-        """Record what an answer to this instance says; tell whether it is new."""
+        """Record the limit in a local response; return whether it changed."""
         if per_s != self.per_s or self.advertises_limit:
             self._answered_locally_at = now
         return self._update(per_s, now)
 
     def receive(self, report: LimitReport, now: float) -> bool:
-        """Record what another instance was told; tell whether it is new."""
+        """Record the report of a peer; return whether the limit changed."""
         advertised_at = now - report.age_ms / MS_PER_S
         if advertised_at <= self.advertised_at:
             return False
@@ -127,32 +128,32 @@
         return is_new
 
     def report(self, now: float) -> LimitReport | None:
-        """Return what others are told of it, if this instance was told itself."""
+        """Return the report for peers, if this instance learned of the limit itself."""
         report_duration_s = math.inf if self.advertises_limit else LIFTED_LIMIT_REPORT_S
         if now - self._answered_locally_at >= report_duration_s:
             return None
         age_ms = math.ceil((now - self.advertised_at) * MS_PER_S)
         return LimitReport(self.per_s if self.advertises_limit else None, age_ms)
 
-    # What it bears
+    # Cold starts
 
     def mark_cold(self, until: float, now: float) -> None:
-        """Record that it is cold until a time, at least."""
+        """Record that the upstream is cold at least until a time."""
         if not self.is_limited(now):
             self.local_per_s = self._tokens = 0.0
             self._is_newly_cold = True
         self.cold_until = max(self.cold_until, until)
 
-    # What may be sent
+    # Token bucket
 
     def set_share(
         self, local_per_s: float, now: float, first_token: float = 0.0
     ) -> None:
-        """Set the part of this instance.
+        """Set the share of this instance.
 
-        Who had none begins without a token, so that those who had one have heard of
-        the change. When an upstream begins to be cold nobody had one: then a part
-        begins with `first_token`, below 1.
+        An instance that had none starts without a token, so that those that had one
+        have learned of the change by then. When an upstream turns cold no instance had
+        one: a share then starts with `first_token`, below 1.
         """
         self._refill(now)
         if not local_per_s:
@@ -164,20 +165,20 @@
         self.local_per_s = local_per_s
 
     def may_send(self, now: float) -> bool:
-        """Tell whether a request may be sent now."""
+        """Return whether a request may be sent now."""
         if not self.is_limited(now):
             return True
         self._refill(now)
         return self._tokens >= 1
 
     def take(self, now: float) -> None:
-        """Count a request that is sent."""
+        """Take a token for a request that is sent."""
         if self.is_limited(now):
             self._refill(now)
             self._tokens -= 1
 
     def refund(self) -> None:
-        """Count a request no longer: it did not reach the upstream."""
+        """Return the token of a request that did not reach the upstream."""
         self._tokens = min(self._capacity(), self._tokens + 1)
 
     def wait_s(self, now: float) -> float:
@@ -187,7 +188,7 @@
         return (1 - self._tokens) / self.local_per_s if self.local_per_s else math.inf
 
     def ready_for_s(self, now: float) -> float:
-        """Return for how long a request could have been sent, in seconds."""
+        """Return for how long a token has been available, in seconds."""
         return now - self._ready_since if self.may_send(now) else 0.0
 
     def _refill(self, now: float) -> None:
--- a/packages/buckthornwall/src/buckthornwall/pools/rate_limits.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/rate_limits.py
@@ -1,4 +1,4 @@
-"""The rate limits of all upstreams: what is known of them, and what is shared."""
+"""Rate limits of all upstreams, reports on them, and shares of instances."""
 
 from collections.abc import Iterable
 
@@ -14,14 +14,14 @@
 
 
 class RateLimits:
-    """What upstreams take in a second.
+    """Rate limits of upstreams.
 
     Parameters
     ----------
     clock
         Source of time.
     views
-        All upstreams, kept up to date by their owner.
+        All upstreams by id, kept up to date by the caller.
     """
 
     def __init__(self, clock: Clock, views: dict[UpstreamId, UpstreamView]) -> None:
@@ -29,16 +29,16 @@
         self.views = views
         self._pools: dict[PoolId, Pool] = {}
 
-    # Limits that upstreams name
+    # Advertised limits
 
     def record(self, view: UpstreamView, per_s: float) -> None:
-        """Take the requests a second that an upstream names in an answer."""
+        """Record the requests a second that an upstream advertises in a response."""
         before = view.rate_limit.per_s
         if view.rate_limit.record_answer(per_s, self.clock.now()):
             _log_limit(view, before, is_from_peer=False)
 
     def receive(self, reports: LimitReports) -> None:
-        """Take what other instances know of the limits that upstreams name."""
+        """Record the reports of peers on advertised limits."""
         now = self.clock.now()
         for upstream, report in reports.items():
             view = self.views.get(upstream)
@@ -49,7 +49,7 @@
                 _log_limit(view, before, is_from_peer=True)
 
     def reports(self) -> LimitReports:
-        """Return what others are told of the limits that upstreams name."""
+        """Return the reports on advertised limits for peers."""
         now = self.clock.now()
         reports = {view.id: view.rate_limit.report(now) for view in self.views.values()}
         return {each: report for each, report in reports.items() if report is not None}
@@ -57,21 +57,21 @@
     # Cold upstreams
 
     def set_pools(self, pools: Iterable[Pool]) -> None:
-        """Take what a new version says of cold upstreams."""
+        """Apply the limits for cold upstreams of a new configuration version."""
         self._pools = {pool.id: pool for pool in pools}
         for view in self.views.values():
             self._set_cold_rate(view)
 
     def adopt(self, view: UpstreamView) -> None:
-        """Take what an upstream's registration says of its being cold."""
+        """Apply the remaining cold start of an upstream's registration."""
         self._set_cold_rate(view)
         if view.entry.cold_s:
             self._mark_cold(view, view.entry.cold_s)
 
     def assume_cold(self, views: Iterable[UpstreamView]) -> None:
-        """Take upstreams to be cold that start, or that get requests again.
+        """Treat upstreams as cold that start, or that get requests again.
 
-        Their own report of it may come late.
+        Their own report of it may arrive late.
         """
         for view in views:
             pool = self._pools.get(view.entry.pool)
@@ -84,7 +84,7 @@
         view.rate_limit.cold_per_s = UNLIMITED if is_unlimited else pool.cold_per_s
 
     def _mark_cold(self, view: UpstreamView, seconds: float) -> None:
-        """Take an upstream to be cold from now on, for so many seconds."""
+        """Mark an upstream as cold for a number of seconds from now."""
         now = self.clock.now()
         was_cold = view.rate_limit.is_cold(now)
         view.rate_limit.mark_cold(now + seconds, now)
@@ -96,18 +96,18 @@
                 per_s=view.rate_limit.cold_per_s,
             )
 
-    # What this instance may send
+    # Shares of this instance
 
     def update_shares(self, live: Fleet, recent: Fleet) -> None:
-        """Find the part of this instance in what upstreams take.
+        """Update the shares of this instance in the limits of upstreams.
 
         Parameters
         ----------
         live
-            Who is live; they share what upstreams name.
+            Live instances, which share advertised limits.
         recent
-            Who was live lately, those out of touch too; they share what cold upstreams
-            bear.
+            Recently live instances, including those out of contact, which share the
+            limits of cold upstreams.
         """
         now = self.clock.now()
         rates = self._advertised_rates(live, now)
@@ -128,9 +128,9 @@
         return local_rates(limits, fleet)
 
     def _cold_rates(self, fleet: Fleet, now: float) -> dict[UpstreamId, float]:
-        """Return the parts at cold upstreams, found one by one.
+        """Return the shares at cold upstreams, computed for each one alone.
 
-        Instances differ for a moment in which others they know to be cold.
+        Instances briefly differ in which other upstreams they know to be cold.
         """
         rates: dict[UpstreamId, float] = {}
         for view in self.views.values():
--- a/packages/buckthornwall/src/buckthornwall/pools/table.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/table.py
@@ -1,4 +1,4 @@
-"""All upstreams by id, and what is known of each."""
+"""Table of all registered upstreams and their state."""
 
 import math
 from collections.abc import Iterable, Iterator, Mapping
@@ -28,31 +28,31 @@
 
 __all__ = ["PoolTable"]
 
-# Where a request may go; None is anywhere.
+# Regions that a request may be sent to; None allows any region.
 Regions = frozenset[RegionId] | None
 
-# The last token of a limited pool is kept for more urgent requests so long, in seconds.
+# The last token of a limited pool is reserved for more urgent requests this long.
 RESERVED_TOKEN_S = 0.5
 
 
 class PoolTable:
-    """Who is registered, as the newest news said.
+    """Registered upstreams, as of the newest update from the store.
 
     Parameters
     ----------
     clock
         Source of time.
     regions
-        The region of each availability zone.
+        Region of each availability zone.
 
     Attributes
     ----------
     instances : float
-        How many instances serve the pools, this one included.
+        Number of instances that serve the pools, including this one.
     rate_limits : RateLimits
-        How many requests a second upstreams take.
+        Rate limits of the upstreams.
     evacuations : Evacuations
-        Which availability zones get no new requests.
+        Availability zones that get no new requests.
     """
 
     def __init__(
@@ -73,13 +73,13 @@
         self.evacuations = Evacuations()
 
     def adopt(self, entry: UpstreamEntry) -> bool:
-        """Take a registration, new or changed.
+        """Add or update a registration.
 
         Returns
         -------
         bool
-            Whether the upstream started again under the id that it had: what was
-            known of it is forgotten then, and what is in flight there has failed.
+            Whether the upstream restarted under the same id. Its state is then
+            discarded, and the requests in flight there have failed.
         """
         view = self.views.get(entry.id)
         restarted = view is not None and _has_restarted(view.entry, entry)
@@ -117,20 +117,20 @@
         return [view for view in self.views.values() if view.entry.zone == zone]
 
     def remove(self, upstream: UpstreamId) -> None:
-        """Forget an upstream that is gone."""
+        """Remove an upstream that is gone."""
         view = self.views.pop(upstream, None)
         if view is not None:
             self._members[view.entry.pool].pop(upstream, None)
             log_event("upstream_gone", upstream=upstream, pool=view.entry.pool)
 
     def note_prompt(self, view: UpstreamView, prompt: PromptShape) -> None:
-        """Record that a prompt goes to an engine, and tell others of its segments."""
+        """Record a prompt sent to an engine, and report its segments to peers."""
         view.prefixes.note(prompt)
         shared = [(segment.id, segment.tokens) for segment in prompt.segments[:-1]]
         self.prefix_updates.note(view.id, shared, self.clock.now())
 
     def receive_cached_prefixes(self, cached_prefixes: CachedPrefixes) -> None:
-        """Take which segments other instances sent to engines."""
+        """Record which segments other instances sent to engines."""
         for upstream, segments in cached_prefixes.items():
             view = self.views.get(upstream)
             if view is not None:
@@ -141,11 +141,11 @@
         return self._members.get(pool, {}).values()
 
     def knows_zone(self, zone: ZoneId) -> bool:
-        """Tell whether a zone is set, or has upstreams."""
+        """Return whether a zone is configured or has upstreams."""
         return zone in self.regions or bool(self.in_zone(zone))
 
     def is_evacuated(self, pool: PoolId, regions: Regions = None) -> bool:
-        """Tell whether all ready upstreams of a pool are in evacuated zones."""
+        """Return whether all ready upstreams of a pool are in evacuated zones."""
         zones = {
             view.entry.zone
             for view in self.members(pool)
@@ -155,26 +155,26 @@
         return bool(zones) and all(map(self.evacuations.is_evacuated, zones))
 
     def has_ready_in(self, pool: PoolId, regions: Regions) -> bool:
-        """Tell whether a pool has ready upstreams in some regions."""
+        """Return whether a pool has ready upstreams in any of some regions."""
         return regions is None or any(
             view.entry.state is UpstreamState.READY and self._is_allowed(view, regions)
             for view in self.members(pool)
         )
 
     def wait_calibration(self, pool: PoolId) -> WaitCalibration:
-        """Return how a pool's first tokens compare with the counts."""
+        """Return the calibration of a pool's expected waits for first tokens."""
         return self._wait_calibrations.setdefault(pool, WaitCalibration())
 
     def ledger(self, pool: PoolId) -> AdmissionLedger:
-        """Return what was let in and refused of a pool's requests lately."""
+        """Return the ledger of a pool's recently admitted and refused requests."""
         return self._ledgers.setdefault(pool, AdmissionLedger())
 
     def model(self, pool: PoolId) -> EngineModel:
-        """Return what a pool's engines have shown of their speed."""
+        """Return the model of the speed of a pool's engines."""
         return self._models.setdefault(pool, EngineModel())
 
     def log_speeds(self) -> None:
-        """Log what is believed of the speed of each pool of model engines."""
+        """Log the estimated speed of each pool of model engines."""
         for pool, model in self._models.items():
             if model.gap_count:
                 log_event("engine_speed", pool=pool, **model.describe())
@@ -188,7 +188,7 @@
     def set_contracts(
         self, pools: Iterable[Pool], routes: Iterable[RequestRoute]
     ) -> None:
-        """Take sizes of engines and contracts of streams from a new version."""
+        """Apply engine sizes and stream contracts of a new configuration version."""
         pools = list(pools)
         self.rate_limits.set_pools(pools)
         pauses: dict[PoolId, set[float]] = {}
@@ -205,7 +205,7 @@
                 )
 
     def _is_allowed(self, view: UpstreamView, regions: Regions) -> bool:
-        """Tell whether an upstream is in one of some regions."""
+        """Return whether an upstream is in an allowed region."""
         return regions is None or self.regions.get(view.entry.zone) in regions
 
     def _ready(
@@ -232,11 +232,11 @@
         tried: frozenset[UpstreamId] | set[UpstreamId],
         regions: Regions = None,
     ) -> list[UpstreamView]:
-        """Return who may take a new request, the healthy before the others.
+        """Return the upstreams that may get a new request: the healthy ones, if any.
 
-        If all are set aside, all that are ready count: where everybody
-        fails, sending on is better than refusing everything. What an upstream takes
-        in a second is kept in any case, and so are `regions` (None is any).
+        If none is healthy, all that are ready count: where all upstreams fail, to keep
+        sending is better than to refuse everything. Rate limits and `regions` (None is
+        any) are kept in any case.
         """
         now = self.clock.now()
         ready = [
@@ -253,11 +253,11 @@
         return healthy or ready
 
     def limit_queue(self, pool: PoolId) -> LimitQueue:
-        """Return who waits for a token of a limited pool."""
+        """Return the queue of requests for tokens of a limited pool."""
         return self._limit_queues.setdefault(pool, LimitQueue())
 
     def is_limited(self, pool: PoolId, regions: Regions = None) -> bool:
-        """Tell whether all upstreams of a pool take only so many requests a second."""
+        """Return whether all ready upstreams of a pool have a rate limit."""
         now = self.clock.now()
         is_any_ready = False
         for view in self._ready(pool, frozenset(), regions):
@@ -267,18 +267,18 @@
         return is_any_ready
 
     def limit_wait_s(self, pool: PoolId, regions: Regions = None) -> float:
-        """Return how long until a limited pool takes another request from here.
+        """Return how long until a limited pool accepts another request from here.
 
-        In seconds; infinite where this instance has no part.
+        In seconds; infinite where this instance has no share.
         """
         now = self.clock.now()
         ready = self._ready(pool, frozenset(), regions)
         return min((view.rate_limit.wait_s(now) for view in ready), default=math.inf)
 
     def has_spare_token(self, pool: PoolId, regions: Regions = None) -> bool:
-        """Tell whether a limited pool takes a request that is not the most urgent.
+        """Return whether a limited pool accepts a request that is not the most urgent.
 
-        One token is left to more urgent ones for a while.
+        The last token is reserved for more urgent ones for a while.
         """
         now = self.clock.now()
         limits = [view.rate_limit for view in self._ready(pool, frozenset(), regions)]
@@ -287,16 +287,16 @@
         return any(limit.ready_for_s(now) >= RESERVED_TOKEN_S for limit in limits)
 
     def limit_interval_s(self, pool: PoolId, regions: Regions = None) -> float:
-        """Return the seconds between two requests that a limited pool takes from here.
+        """Return the seconds between two requests from here to a limited pool.
 
-        Infinite where this instance has no part.
+        Infinite where this instance has no share.
         """
         ready = self._ready(pool, frozenset(), regions)
         per_s = sum(view.rate_limit.local_per_s for view in ready)
         return 1 / per_s if per_s else math.inf
 
     def unreachable(self) -> list[UpstreamId]:
-        """Return whom this instance could lately not reach."""
+        """Return the upstreams that this instance recently could not reach."""
         now = self.clock.now()
         return [
             view.id
@@ -305,7 +305,7 @@
         ]
 
     def receive_unreachable(self, unreachable: Unreachable) -> None:
-        """Take how many instances could lately not reach which upstream."""
+        """Record how many instances recently could not reach each upstream."""
         now = self.clock.now()
         for upstream, reporters in unreachable.items():
             view = self.views.get(upstream)
@@ -313,7 +313,7 @@
                 view.reachability.record_reports(reporters, now)
 
     def record_outcome(self, view: UpstreamView, verdict: Verdict) -> None:
-        """Take how a request at an upstream ended."""
+        """Record the outcome of a request at an upstream."""
         now = self.clock.now()
         if verdict is Verdict.UNREACHABLE:
             view.reachability.record_failed(now)
@@ -330,6 +330,7 @@
             )
 
     def _failure_share_of_others(self, view: UpstreamView) -> float:
+        """Return the median failure share of the other upstreams of a pool."""
         now = self.clock.now()
         others = [
             other.health.failure_share(now)
@@ -340,9 +341,9 @@
 
 
 def _has_restarted(before: UpstreamEntry, now: UpstreamEntry) -> bool:
-    """Tell whether two registrations under one id are of two starts.
+    """Return whether two registrations under one id are of different generations.
 
-    An entry that does not tell its start says nothing of it.
+    An entry without a generation does not count as a restart.
     """
     return (
         bool(before.generation and now.generation)
--- a/packages/buckthornwall/src/buckthornwall/pools/view.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/view.py
@@ -1,4 +1,4 @@
-"""One upstream, and all that is known of it."""
+"""State of one upstream."""
 
 from buckthornwall.utils import UpstreamId
 
@@ -15,10 +15,10 @@
 
 
 class UpstreamView:
-    """One upstream: its registration, load, health and likely memory.
+    """Registration, load, health, likely cached prefixes and limits of one upstream.
 
     `reachability` combines this instance's attempts with the reports of its peers.
-    `rate_limit` holds the requests per second it accepts and until when it is cold.
+    `rate_limit` holds the requests a second that it accepts, and until when it is cold.
     """
 
     def __init__(self, entry: UpstreamEntry) -> None:
@@ -30,10 +30,10 @@
         self.rate_limit = RateLimit()
 
     def cold_s(self, now: float) -> float:
-        """Return how much longer it starts up slowly, in seconds."""
+        """Return how much longer its cold start lasts, in seconds."""
         return max(0.0, self.rate_limit.cold_until - now)
 
     @property
     def id(self) -> UpstreamId:
-        """The id it is registered under."""
+        """The id that the upstream is registered under."""
         return self.entry.id
--- a/packages/buckthornwall/src/buckthornwall/pools/wait_calibration.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/wait_calibration.py
@@ -1,38 +1,38 @@
-"""How long first tokens really take, against what the counts let expect."""
+"""Calibration of expected waits for first tokens by the observed waits."""
 
 __all__ = ["WaitCalibration"]
 
-# Prompts wait longer than their tokens alone say: others of the same rank come
-# before them, and engines generate between two readings.
+# Waits are longer than a prompt's tokens alone suggest: prompts of the same rank are
+# ahead of it, and engines decode between two prefills.
 INITIAL_FACTOR = 1.5
 MIN_FACTOR = 0.5
 MAX_FACTOR = 4.0
 SMOOTHING_WEIGHT = 0.05
-# Below this the ways and the engine's own start decide.
+# Below this, network latency and the engine's own start dominate.
 MIN_EXPECTED_S = 0.03
 
 
 class WaitCalibration:
-    """A smoothed ratio of seen to expected waits, by rank."""
+    """Smoothed ratio of observed to expected waits, by rank."""
 
     def __init__(self) -> None:
         self._factors: dict[int, float] = {}
 
     def factor(self, rank: int) -> float:
-        """Return what an expected wait is to be multiplied by."""
+        """Return the factor by which an expected wait is multiplied."""
         return self._factors.get(rank, INITIAL_FACTOR)
 
     def record(self, rank: int, expected_s: float, observed_s: float) -> None:
-        """Take the first token of a request.
+        """Record the first token of a request.
 
         Parameters
         ----------
         rank
-            Its rank.
+            Rank of the request.
         expected_s
-            The wait that its counts alone let expect, in seconds.
+            Wait expected from the load counts alone, in seconds.
         observed_s
-            The wait there was.
+            Observed wait, in seconds.
         """
         if expected_s < MIN_EXPECTED_S:
             return
