--- a/packages/buckthornwall/src/buckthornwall/quarantine/__init__.py
+++ b/packages/buckthornwall/src/buckthornwall/quarantine/__init__.py
@@ -1,10 +1,10 @@
-"""Requests that crash the upstreams that run them.
+"""Quarantine of requests that crash the upstreams that run them.
 
 ============= ============================================================
-`fingerprint` what makes two requests the same, whatever their ids
-`record`      the upstreams that ended beneath one request; mergeable
-`table`       all such records, and which requests are no longer sent
-`successes`   requests that lately ran well, and so crash nothing
+`fingerprint` hash that is equal for repeats of a request, whatever their ids
+`record`      upstreams that terminated while running a request; mergeable
+`table`       all such records, and the requests that are refused
+`successes`   recent successful runs, which exonerate a request
 `settings`    the ``[quarantine]`` section
 ============= ============================================================
 """
--- a/packages/buckthornwall/src/buckthornwall/quarantine/fingerprint.py
+++ b/packages/buckthornwall/src/buckthornwall/quarantine/fingerprint.py
@@ -1,4 +1,4 @@
-"""What makes two requests the same, whatever their ids."""
+"""Fingerprints of requests, equal for repeats whatever their ids."""
 
 from hashlib import blake2b
 from typing import NewType
@@ -21,7 +21,7 @@
 def fingerprint_of(request: RoutedRequest, team: TeamId) -> Fingerprint:
     """Return a hash of a request's method, host, target, team and body.
 
-    The team is part of it, so that no team can have another one's requests refused.
+    The team is included, so that no team can have another team's requests refused.
     """
     digest = blake2b(digest_size=FINGERPRINT_BYTES)
     parts = (request.method, request.host.encode(), request.target, team.encode())
@@ -33,5 +33,5 @@
 
 
 def format_fingerprint(fingerprint: Fingerprint) -> str:
-    """Return a fingerprint as logs and the status show it."""
+    """Return a fingerprint as shown in logs and the status."""
     return f"{fingerprint:0{2 * FINGERPRINT_BYTES}x}"
--- a/packages/buckthornwall/src/buckthornwall/quarantine/record.py
+++ b/packages/buckthornwall/src/buckthornwall/quarantine/record.py
@@ -1,4 +1,4 @@
-"""The upstreams that ended beneath one request, in a form that instances merge."""
+"""Mergeable records of upstreams that terminated while running a request."""
 
 import zlib
 from dataclasses import dataclass, field
@@ -24,7 +24,7 @@
 POOL_BYTES = 2
 UPSTREAM_BYTES = 4
 TAG_BYTES = POOL_BYTES + UPSTREAM_BYTES
-# A request beneath which so many upstreams ended is refused anyway.
+# A request with this many terminations is refused anyway.
 MAX_TERMINATIONS = 16
 
 
@@ -34,7 +34,7 @@
 
 
 def generation_tag(pool: PoolId, upstream: str, generation: str) -> GenerationTag:
-    """Return what tells one incarnation of an upstream from all others."""
+    """Return a tag that identifies one generation of an upstream."""
     upstream_hash = _hash(f"{upstream}\0{generation}", UPSTREAM_BYTES)
     return GenerationTag(pool_tag(pool) << 8 * UPSTREAM_BYTES | upstream_hash)
 
@@ -50,12 +50,12 @@
 
 @dataclass(slots=True)
 class CrashRecord:
-    """What is known of one request; both sets only grow, so any order of merges fits.
+    """Terminations by one request; both sets only grow, so the merge order is free.
 
-    `terminations` are the upstreams that ended beneath it, and `cleared` those of them
-    that a run of the same request in the same pool speaks for. `last_seen_at` is when
-    it last came or ended an upstream, and `reported_at` when others were last told of
-    it, in seconds.
+    `terminations` are the upstreams that terminated while running it, and `cleared`
+    those of them of which a successful run of it in the same pool exonerates it.
+    `last_seen_at` is when it last arrived or an upstream terminated while running it,
+    and `reported_at` when it was last reported to peers, in seconds.
     """
 
     terminations: set[GenerationTag] = field(default_factory=set)
@@ -65,23 +65,23 @@
 
     @property
     def crashes(self) -> int:
-        """How many upstreams it is held to have crashed."""
+        """Number of upstreams that it is assumed to have crashed."""
         return len(self.terminations - self.cleared)
 
     def merge(
         self, terminations: set[GenerationTag], cleared: set[GenerationTag]
     ) -> None:
-        """Add what is known elsewhere, as far as there is room."""
+        """Merge the record of a peer, up to `MAX_TERMINATIONS`."""
         room = max(0, MAX_TERMINATIONS - len(self.terminations))
         self.terminations.update(sorted(terminations - self.terminations)[:room])
         self.cleared |= cleared & self.terminations
 
     def clear(self, pool: int) -> None:
-        """Clear it of the terminations in a pool."""
+        """Mark the terminations in a pool as cleared."""
         self.cleared |= {tag for tag in self.terminations if pool_of(tag) == pool}
 
     def checksum(self, fingerprint: Fingerprint) -> int:
-        """Return a number of 32 bits that is equal where the same is known."""
+        """Return a 32-bit checksum that is equal for equal records of a request."""
         data = fingerprint.to_bytes(FINGERPRINT_BYTES)
         for tag in sorted(self.terminations):
             data += tag.to_bytes(TAG_BYTES) + bytes([tag in self.cleared])
--- a/packages/buckthornwall/src/buckthornwall/quarantine/settings.py
+++ b/packages/buckthornwall/src/buckthornwall/quarantine/settings.py
@@ -1,4 +1,4 @@
-"""Settings of requests that are no longer sent."""
+"""Settings of the quarantine."""
 
 from buckthornwall.utils import ConfigItem, ConfigNamespace
 
@@ -6,7 +6,7 @@
 
 
 class QuarantineSettings(ConfigNamespace):
-    """Settings of requests that crash upstreams."""
+    """Settings of the quarantine of requests that crash upstreams."""
 
     section = "quarantine"
 
--- a/packages/buckthornwall/src/buckthornwall/quarantine/successes.py
+++ b/packages/buckthornwall/src/buckthornwall/quarantine/successes.py
@@ -1,4 +1,4 @@
-"""Requests that lately ran well."""
+"""Recent successful runs of requests."""
 
 from collections import OrderedDict
 
@@ -8,14 +8,14 @@
 
 
 class RecentSuccesses:
-    """When requests last ran well, by fingerprint and pool; the newest of them.
+    """Times of the newest successful runs, by fingerprint and pool.
 
     Parameters
     ----------
     max_entries
-        How many are kept.
+        Number of runs that are kept.
     ttl_s
-        Seconds for which a run that went well counts.
+        Seconds for which a successful run counts.
     """
 
     def __init__(self, max_entries: int, ttl_s: float) -> None:
@@ -24,13 +24,13 @@
         self._succeeded_at: OrderedDict[tuple[Fingerprint, int], float] = OrderedDict()
 
     def record(self, fingerprint: Fingerprint, pool: int, now: float) -> None:
-        """Record a run that went well."""
+        """Record a successful run."""
         self._succeeded_at[fingerprint, pool] = now
         self._succeeded_at.move_to_end((fingerprint, pool))
         if len(self._succeeded_at) > self.max_entries:
             self._succeeded_at.popitem(last=False)
 
     def includes(self, fingerprint: Fingerprint, pool: int, now: float) -> bool:
-        """Tell whether a request lately ran well in a pool."""
+        """Return whether a request recently ran successfully in a pool."""
         at = self._succeeded_at.get((fingerprint, pool))
         return at is not None and now - at <= self.ttl_s
--- a/packages/buckthornwall/src/buckthornwall/quarantine/table.py
+++ b/packages/buckthornwall/src/buckthornwall/quarantine/table.py
@@ -1,9 +1,9 @@
-"""Which requests crash upstreams, as all instances together know it.
+"""Requests that crash upstreams, as known to all instances together.
 
-Pure: terminations, successes and reports of other instances in, decisions out. An
-engine that ends cuts all that it runs, so one end says little of any one request; the
-same request beneath several terminations, and never a run of it that went well, says
-enough.
+A pure state machine: terminations, successes and reports of peers in, decisions out. A
+terminating engine cuts off all requests that it runs, so one termination is weak
+evidence against any one of them. Several terminations under the same request without a
+successful run of it are enough.
 """
 
 import math
@@ -23,11 +23,11 @@
 
 __all__ = ["CrashReport", "QuarantineTable"]
 
-# A run that went well speaks for terminations of the next seconds, too: where all
-# upstreams of a pool are lost at once, what many callers send is beneath each of them.
+# A successful run also exonerates a request of terminations in the next seconds: where
+# all upstreams of a pool are lost at once, a popular request was running on each.
 SUCCESS_TTL_S = 10.0
-# While a refused request keeps coming, others are reminded of it this often, as a share
-# of the time after which they would forget it.
+# While a refused request keeps arriving, peers are reminded of it at this interval, a
+# share of the time after which they would forget it.
 REMINDER_SHARE = 0.25
 
 NonNegativeInt = Annotated[int, msgspec.Meta(ge=0)]
@@ -35,10 +35,10 @@
 
 
 class CrashReport(msgspec.Struct, array_like=True, frozen=True):
-    """What an instance tells of one request.
+    """Report of an instance on one request.
 
-    `terminations` and `cleared` are those of its record; it was last seen `age_s` ago,
-    rounded up, so that no number of instances keeps it alive by telling each other.
+    `terminations` and `cleared` are those of its record. It was last seen `age_s` ago,
+    rounded up, so that instances do not keep it alive by reporting it to each other.
     """
 
     fingerprint: NonNegativeInt
@@ -48,7 +48,7 @@
 
 
 class QuarantineTable:
-    """Records of requests by fingerprint.
+    """Crash records of requests, by fingerprint.
 
     Parameters
     ----------
@@ -58,7 +58,7 @@
     Attributes
     ----------
     checksum : int
-        Equal to that of another instance that knows the same.
+        Equal to that of any instance with the same records.
     """
 
     def __init__(self, settings: QuarantineSettings) -> None:
@@ -68,12 +68,12 @@
         self._successes = RecentSuccesses(settings.most_requests, SUCCESS_TTL_S)
         self._changed: dict[Fingerprint, None] = {}
 
-    # What this instance sees
+    # Observations of this instance
 
     def record_termination(
         self, fingerprint: Fingerprint, tag: GenerationTag, now: float
     ) -> None:
-        """Record that an upstream ended beneath a request."""
+        """Record that an upstream terminated while running a request."""
         self._merge(fingerprint, {tag}, set(), now, now)
         record = self.records[fingerprint]
         log_event(
@@ -87,7 +87,7 @@
     def record_success(
         self, fingerprint: Fingerprint, pool: PoolId, now: float
     ) -> None:
-        """Record a run that went well: the request crashes nothing in this pool."""
+        """Record a successful run: the request crashes no upstreams of this pool."""
         tag = pool_tag(pool)
         self._successes.record(fingerprint, tag, now)
         record = self.records.get(fingerprint)
@@ -96,21 +96,21 @@
                 record.clear(tag)
 
     def record_refused(self, fingerprint: Fingerprint, now: float) -> None:
-        """Record that a request came again: it is not forgotten while it comes."""
+        """Record a repeat of a refused request, which keeps its record alive."""
         record = self.records[fingerprint]
         record.last_seen_at = now
         if now - record.reported_at > self._reminder_s:
             self._changed[fingerprint] = None
 
     def is_refused(self, fingerprint: Fingerprint, now: float) -> bool:
-        """Tell whether a request is no longer sent to upstreams."""
+        """Return whether a request is refused, that is, not sent to upstreams."""
         record = self.records.get(fingerprint)
         if record is None or self._is_expired(record, now):
             return False
         return self._is_quarantined(record)
 
     def crashes(self, fingerprint: Fingerprint) -> int:
-        """Return how many upstreams a request is held to have crashed."""
+        """Return how many upstreams a request is assumed to have crashed."""
         record = self.records.get(fingerprint)
         return record.crashes if record is not None else 0
 
@@ -124,10 +124,10 @@
     def _is_expired(self, record: CrashRecord, now: float) -> bool:
         return now - record.last_seen_at > self.settings.forget_s
 
-    # What instances tell each other
+    # Reports among instances
 
     def receive(self, report: CrashReport, now: float) -> None:
-        """Take what another instance knows of a request."""
+        """Merge the report of a peer on a request."""
         if not report.terminations or report.age_s > self.settings.forget_s:
             return
         fingerprint = Fingerprint(report.fingerprint)
@@ -136,14 +136,14 @@
         self._merge(fingerprint, terminations, cleared, now - report.age_s, now)
 
     def take_changed(self, max_reports: int, now: float) -> list[CrashReport]:
-        """Return reports on what changed since they were last taken, some at a time."""
+        """Return up to `max_reports` reports on changes that were not yet taken."""
         taken = list(self._changed)[:max_reports]
         for fingerprint in taken:
             del self._changed[fingerprint]
         return [self._report(each, now) for each in taken]
 
     def reports(self, now: float) -> list[CrashReport]:
-        """Return reports on all that is known."""
+        """Return reports on all records."""
         return [self._report(fingerprint, now) for fingerprint in self.records]
 
     def _report(self, fingerprint: Fingerprint, now: float) -> CrashReport:
@@ -195,7 +195,7 @@
     def _tracking_changes(
         self, fingerprint: Fingerprint, record: CrashRecord
     ) -> Iterator[None]:
-        """Note what the body of the ``with`` statement changes in a record."""
+        """Track changes that the body of the ``with`` statement makes to a record."""
         before, was_quarantined = (
             record.checksum(fingerprint),
             self._is_quarantined(record),
@@ -222,7 +222,7 @@
         )
 
     def expire(self, now: float) -> None:
-        """Forget requests that have long neither come nor crashed an upstream."""
+        """Drop records of requests not seen and without a crash for `forget_s`."""
         for fingerprint, record in list(self.records.items()):
             if not self._is_expired(record, now):
                 continue
@@ -231,7 +231,7 @@
             self._drop(fingerprint)
 
     def refused(self) -> dict[Fingerprint, CrashRecord]:
-        """Return the records of requests that are no longer sent."""
+        """Return the records of requests that are refused."""
         return {
             fingerprint: record
             for fingerprint, record in self.records.items()
