--- a/packages/buckthornwall/src/buckthornwall/forwarding/__init__.py
+++ b/packages/buckthornwall/src/buckthornwall/forwarding/__init__.py
@@ -1,19 +1,19 @@
-"""From a routed request to its answer: attempts at upstreams, one after another.
+"""Forwarding of a routed request: attempts at upstreams, one after another.
 
-============= ============================================================
-`reply`       an upstream's reply in the product's own words
-`connections` connections to upstreams, kept while they are sound
-`events`      event streams, forwarded by whole events and joined by their ids
-`delivery`    what the caller has got so far
-`attempt`     one attempt at one upstream, and how it ended
-`budgets`     this instance's part of the fleet's retries
-`liveness`    whether an upstream has ended, or only a connection to it
-`crash_guard` requests that crash upstreams: what shows it, what follows
-`limit_gate`  who is sent, and who waits, where a pool has rate limits
-`job`         a request on its way through the attempts
+=================== ======================================================
+`reply`             an upstream's reply, independent of the wire format
+`connections`       reuse of connections to upstreams
+`events`            event streams, forwarded by complete events, joined by event id
+`delivery`          the response that the client has received so far
+`attempt`           one attempt at one upstream, and its outcome
+`budgets`           this instance's share of the fleet's retry budget
+`liveness`          whether an upstream has ended, or only a connection to it
+`crash_guard`       detection and refusal of requests that crash upstreams
+`limit_gate`        admission to pools whose upstreams have rate limits
+`job`               the state of a request over all of its attempts
 `request_telemetry` log lines and metrics of requests
-`forwarder`   the attempts of a request until it is answered or refused
-============= ============================================================
+`forwarder`         the attempts of a request until it is answered or refused
+=================== ======================================================
 """
 
 from .budgets import RetryBudgets
--- a/packages/buckthornwall/src/buckthornwall/forwarding/attempt.py
+++ b/packages/buckthornwall/src/buckthornwall/forwarding/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt at one upstream, and how it ended."""
+"""One attempt at one upstream, and its outcome."""
 
 import math
 from collections.abc import Callable
@@ -26,28 +26,28 @@
 __all__ = ["Attempt", "AttemptEnd", "AttemptResult"]
 
 MAX_BODY_BYTES = 4 * 2**20
-# How an exchange fails when its upstream ends beneath it.
+# How an exchange fails when its upstream ends during it.
 CONNECTION_LOST = frozenset({ExchangeFailure.RESET, ExchangeFailure.ENDED})
-# A reply that names another request is skipped this often before it counts as
-# garbage.
+# Heads that are read to find the reply to this request. If all name other requests, the
+# exchange counts as garbled.
 MAX_FOREIGN_REPLIES = 2
 
 
 class AttemptEnd(Enum):
     """How an attempt ended."""
 
-    DONE = "done"  # the caller has the whole answer
+    DONE = "done"  # the client has the complete response
     NOT_SENT = "not_sent"  # no byte reached the upstream
-    NOT_RUN = "not_run"  # the upstream states that it did not run it
-    FAILED = "failed"  # it ran and failed, by a whole reply
-    BROKEN = "broken"  # it may have run; no whole reply came
+    NOT_RUN = "not_run"  # the upstream states that it did not run the request
+    FAILED = "failed"  # a complete reply reports a failure
+    BROKEN = "broken"  # it may have run; no complete reply arrived
 
 
 @dataclass(slots=True)
 class AttemptResult:
-    """The end of an attempt; `reply` and `body` where a whole reply came.
+    """The end of an attempt, with `reply` and `body` if a complete reply arrived.
 
-    `failure` is how the exchange broke off, if it did.
+    `failure` is how the exchange failed, if it did.
     """
 
     end: AttemptEnd
@@ -63,18 +63,18 @@
 
     @property
     def is_connection_lost(self) -> bool:
-        """Whether the exchange failed as it does when its upstream ends."""
+        """Whether the exchange failed as when its upstream ends."""
         return self.failure in CONNECTION_LOST
 
 
 @dataclass(slots=True)
 class Attempt:
-    """What one attempt needs.
+    """One attempt at one upstream.
 
     `head_timeout_s` is how long to wait for the head of a reply, and `event_timeout_s`
-    for each event after it, in seconds; None is as long as the caller waits.
-    `note_prompt` is told that the prompt goes to the upstream, `record_rate_limit` the
-    limit that it names, and `model` what the stream shows of its speed.
+    for each event after it, in seconds; None is as long as the client waits.
+    `note_prompt` records that the prompt is sent to the upstream, `record_rate_limit`
+    the limit that it names, and `model` learns the speed of the stream.
     """
 
     request: RoutedRequest
@@ -94,7 +94,7 @@
     pause_sensitive: bool = False
 
     async def run(self) -> AttemptResult:
-        """Make the attempt; load is counted while it lasts."""
+        """Make the attempt, and count its load while it lasts."""
         view = self.choice.view
         try:
             connection = await self.connections.acquire(
@@ -129,7 +129,7 @@
     async def _exchange(
         self, connection: ClientConnection, pending_prefill: "_PendingPrefill"
     ) -> tuple[Reply | None, AttemptResult]:
-        """Return the result, and the reply if the connection may be kept."""
+        """Return the reply if the connection may be reused, and the result."""
         view = self.choice.view
         if self.request.prompt is not None:
             self.note_prompt(view, self.request.prompt)
@@ -155,7 +155,7 @@
             )
 
     def _record_reply(self, reply: Reply) -> None:
-        """Record that the upstream answers, unless another one did at its address."""
+        """Record the reply, unless another upstream sent it from the address."""
         if reply.misdirected:
             return
         now = self.clock.now()
@@ -176,7 +176,7 @@
         )
 
     async def _receive_reply(self, connection: ClientConnection) -> Reply:
-        """Return the reply to this request, past late ones to others."""
+        """Return the reply to this request, skipping late replies to others."""
         for _ in range(MAX_FOREIGN_REPLIES):
             reply = self.codec.decode(await connection.receive_head())
             if reply.request_id in ("", self.request.id):
@@ -244,12 +244,12 @@
 
 
 def _limit(seconds: float | None) -> AbstractContextManager[trio.CancelScope]:
-    """Return a scope that raises TooSlowError after a time, or never for None."""
+    """Return a scope that raises TooSlowError after `seconds`; never for None."""
     return trio.fail_after(math.inf if seconds is None else seconds)
 
 
 class _StepObserver:
-    """Shows a model of engines the times between a stream's events."""
+    """Records the gaps between a stream's events in the engine model."""
 
     def __init__(
         self,
@@ -266,7 +266,7 @@
         self._was_idle = False
 
     def record(self, events: int, now: float) -> None:
-        """Take events that came together at `now`."""
+        """Record that `events` arrived together at `now`."""
         is_idle = not self.view.load.total_pending_prefill()
         if self._last_event_at is not None and events == 1:
             gap_s = now - self._last_event_at
@@ -292,7 +292,7 @@
             view.load.waits.begin(rank, self, sent_at)
 
     def clear(self, is_served: bool) -> None:
-        """Stop counting it."""
+        """Stop counting the prompt."""
         self.view.load.add_pending_prefill(self.rank, -self.tokens)
         self.tokens = 0
         self.view.load.waits.end(self.rank, self, is_served)
--- a/packages/buckthornwall/src/buckthornwall/forwarding/budgets.py
+++ b/packages/buckthornwall/src/buckthornwall/forwarding/budgets.py
@@ -1,8 +1,8 @@
-"""The part of the fleet's retries that one instance may make.
+"""An instance's share of the fleet's retry budget.
 
-All instances together may repeat a share of the requests to a pool, and a
-fixed number besides. Each earns the share from its own requests, and gets the
-fixed number divided by the instances that are live.
+The fleet may retry a fraction of the requests to a pool, plus a fixed reserve in each
+window. Each instance earns the fraction from its own requests, and gets the reserve
+divided by the number of live instances.
 """
 
 from buckthornwall.routing import PoolId
@@ -10,24 +10,25 @@
 
 __all__ = ["RetryBudgets"]
 
-# Both are kept below what is allowed, since instances count a little apart.
+# Keeps ratio and reserve below the allowed ones, since the instances' counts differ
+# slightly.
 SAFETY_FACTOR = 0.8
-# What is kept of a higher number of instances from one look to the next.
+# A drop in the number of instances is followed by this factor per update.
 INSTANCE_COUNT_DECAY = 0.99
-# What an instance that has heard nobody yet takes the fleet to be: after a loss
-# of all, each would else start with the part of all.
+# Assumed fleet size before any peer is known. After a loss of all instances, each would
+# otherwise start with the reserve of the whole fleet.
 INITIAL_INSTANCES = 12.0
 
 
 class RetryBudgets:
-    """A budget for each pool.
+    """A retry budget for each pool.
 
     Parameters
     ----------
     ratio
-        Repeats allowed for each request, over the fleet.
+        Retries allowed for each request, over the fleet.
     reserve
-        Repeats allowed besides in one window, over the fleet.
+        Additional retries allowed in one window, over the fleet.
     """
 
     def __init__(self, ratio: float, reserve: float) -> None:
@@ -37,10 +38,10 @@
         self._budgets: dict[PoolId, RetryBudget] = {}
 
     def set_instances(self, count: int) -> None:
-        """Take the number of live instances, this one included.
+        """Set the number of live instances, this one included.
 
-        A lower number counts only little by little: instances that are cut off
-        from each other must not each take the part of all.
+        A drop takes effect gradually, so that instances that are partitioned from
+        each other do not each take the reserve of the whole fleet.
         """
         self.instances = max(1.0, float(count), self.instances * INSTANCE_COUNT_DECAY)
         for budget in self._budgets.values():
@@ -52,7 +53,7 @@
         self._budget(pool).earn()
 
     def spend(self, pool: PoolId) -> bool:
-        """Take one repeat; False if there is none left."""
+        """Take one retry; return False if none is left."""
         return self._budget(pool).spend()
 
     def _local_reserve(self) -> float:
--- a/packages/buckthornwall/src/buckthornwall/forwarding/connections.py
+++ b/packages/buckthornwall/src/buckthornwall/forwarding/connections.py
@@ -1,20 +1,20 @@
-"""Connections to upstreams, kept while they are sound."""
+"""Reuse of connections to upstreams."""
 
 from buckthornwall.http1 import ClientConnection
 from buckthornwall.utils import Clock, UpstreamId
 
 __all__ = ["ConnectionCache"]
 
-# An upstream that names no limit is taken to close idle connections after 5 s.
+# Upstreams that name no keep-alive timeout are assumed to close idle connections after
+# 5 s.
 DEFAULT_IDLE_TIMEOUT_S = 4.0
-# Part of a named limit after which a connection is no longer used.
+# Fraction of a named keep-alive timeout after which a connection is not reused.
 IDLE_TIMEOUT_FRACTION = 0.7
-# An upstream has that many idle connections from here at most.
 MAX_IDLE_PER_UPSTREAM = 16
 
 
 class ConnectionCache:
-    """Idle connections by upstream, the last used first.
+    """Idle connections by upstream, the most recently used first.
 
     Parameters
     ----------
@@ -35,14 +35,14 @@
     async def acquire(
         self, upstream: UpstreamId, address: str, max_idle_s: float
     ) -> ClientConnection:
-        """Return a sound idle connection, or a new one.
+        """Return a usable idle connection, or a new one.
 
         Parameters
         ----------
         upstream, address
-            Whom to reach, and where, as ``IP:port``.
+            The upstream, and its address as ``IP:port``.
         max_idle_s
-            Longest idle time, in seconds, that the caller accepts.
+            Longest acceptable idle time, in seconds.
 
         Raises
         ------
@@ -70,7 +70,7 @@
         return connection
 
     def drop(self, upstream: UpstreamId, connection: ClientConnection) -> None:
-        """Close a connection whose exchange is not whole."""
+        """Close a connection whose exchange is incomplete."""
         self._busy.get(upstream, set()).discard(connection)
         connection.close()
 
@@ -80,7 +80,7 @@
         connection: ClientConnection,
         idle_timeout_s: float | None,
     ) -> None:
-        """Keep a connection whose exchange is whole, or close it."""
+        """Keep a connection whose exchange is complete, or close it."""
         self._busy.get(upstream, set()).discard(connection)
         idle = self._idle.setdefault(upstream, [])
         if not connection.is_reusable() or len(idle) >= MAX_IDLE_PER_UPSTREAM:
@@ -92,7 +92,7 @@
         idle.append(connection)
 
     def expire(self) -> None:
-        """Close what has been idle for too long."""
+        """Close connections that have been idle for too long."""
         now = self.clock.now()
         for upstream, idle in self._idle.items():
             limit_s = self._idle_timeouts.get(upstream, DEFAULT_IDLE_TIMEOUT_S)
@@ -106,9 +106,9 @@
         self._idle_timeouts.pop(upstream, None)
 
     def close_all(self, upstream: UpstreamId) -> None:
-        """Close every connection to an upstream that started again.
+        """Close every connection to an upstream that restarted.
 
-        Its earlier start answers nothing more, whether or not a reset tells so.
+        Its former process sends nothing more, even if no reset arrives.
         """
         self.forget(upstream)
         for connection in self._busy.pop(upstream, ()):
--- a/packages/buckthornwall/src/buckthornwall/forwarding/crash_guard.py
+++ b/packages/buckthornwall/src/buckthornwall/forwarding/crash_guard.py
@@ -1,4 +1,4 @@
-"""What attempts show of requests that crash upstreams, and what follows for them."""
+"""Detection and refusal of requests that crash upstreams."""
 
 from buckthornwall.codes import Refusal, ResultCode
 from buckthornwall.pools import Choice, PoolTable, UpstreamState
@@ -13,16 +13,16 @@
 
 
 class CrashGuard:
-    """Keeps requests that crash upstreams from them.
+    """Refuses requests that crash upstreams.
 
     Parameters
     ----------
     quarantine
-        Which requests crash upstreams.
+        Records of requests that crash upstreams.
     pools
-        Which upstreams are registered.
+        Registered upstreams.
     liveness
-        Tells an upstream that ended from a connection that broke off.
+        Distinguishes an upstream that ended from a lost connection.
     clock
         Source of time.
     """
@@ -40,7 +40,7 @@
         self.clock = clock
 
     def refusal(self, job: Job) -> Refusal | None:
-        """Return the refusal of a request that crashes upstreams, None for others."""
+        """Return a refusal if the request crashes upstreams, else None."""
         now = self.clock.now()
         if not self.quarantine.is_refused(job.fingerprint, now):
             return None
@@ -54,7 +54,7 @@
         )
 
     async def record(self, job: Job, choice: Choice, result: AttemptResult) -> bool:
-        """Record the end of an attempt; tell whether its upstream ended with it."""
+        """Record the end of an attempt; return whether its upstream ended with it."""
         entry = choice.view.entry
         if result.end is AttemptEnd.DONE:
             now = self.clock.now()
@@ -63,7 +63,7 @@
         is_listed = self.pools.views.get(entry.id) is choice.view
         if not result.is_connection_lost or not await self.liveness.has_ended(entry):
             return False
-        if is_listed and entry.state is UpstreamState.READY:  # else it left as planned
+        if is_listed and entry.state is UpstreamState.READY:  # else a planned departure
             tag = generation_tag(entry.pool, entry.id, entry.generation)
             self.quarantine.record_termination(job.fingerprint, tag, self.clock.now())
         return True
--- a/packages/buckthornwall/src/buckthornwall/forwarding/delivery.py
+++ b/packages/buckthornwall/src/buckthornwall/forwarding/delivery.py
@@ -1,4 +1,4 @@
-"""What the caller of a request has got so far."""
+"""The response that the client of a request has received so far."""
 
 from buckthornwall.http1 import Answer
 from buckthornwall.utils import Clock
@@ -10,19 +10,19 @@
 
 
 class Delivery:
-    """The answer to one request, joined from the runs that make it.
+    """The response to one request, joined from one or more attempts.
 
-    Nothing is sent before the first whole event, so that a run that breaks off
-    earlier leaves no trace at the caller.
+    Nothing is sent before the first complete event, so that an attempt that fails
+    earlier is not visible to the client.
 
     Parameters
     ----------
     answer
-        The caller's answer.
+        The response to the client.
     clock
         Source of time.
     resume_after
-        Id of the last event that the caller has from an earlier request.
+        Id of the last event that the client has from an earlier request.
     """
 
     def __init__(self, answer: Answer, clock: Clock, resume_after: str) -> None:
@@ -37,18 +37,18 @@
 
     @property
     def started(self) -> bool:
-        """Whether the caller has got any of the answer."""
+        """Whether any of the response has been sent to the client."""
         return self.answer.started
 
     async def send_complete(self, reply: Reply, body: bytes) -> None:
-        """Deliver a whole reply."""
+        """Send a complete reply to the client."""
         self.first_sent_at = self.clock.now()
         self.status = reply.status
         await self.answer.whole(reply.status, reply.headers, body)
         self.done = True
 
     async def send_events(self, reply: Reply, data: bytes) -> int:
-        """Deliver the events that `data` completes; return how many did."""
+        """Send the events that `data` completes; return their number."""
         before = self.joiner.event_count
         events = self.joiner.feed(data)
         if not events:
@@ -62,7 +62,7 @@
         return self.joiner.event_count - before
 
     async def end(self, reply: Reply) -> None:
-        """Deliver the end of a whole stream."""
+        """Send the end of a complete stream."""
         rest = self.joiner.finish()
         if not self.answer.started:
             self.status = reply.status
--- a/packages/buckthornwall/src/buckthornwall/forwarding/events.py
+++ b/packages/buckthornwall/src/buckthornwall/forwarding/events.py
@@ -1,4 +1,4 @@
-"""Event streams, forwarded by whole events and joined by their ids."""
+"""Event streams, forwarded by complete events and joined by event id."""
 
 import re
 
@@ -9,14 +9,14 @@
 
 
 class EventJoiner:
-    """Takes the bytes of one or more runs, gives whole events once.
+    """Joins the bytes of one or more attempts into complete events, each once.
 
     Attributes
     ----------
     last_id : str
-        Id of the last event given, or ''.
+        Id of the last event returned, or ''.
     event_count : int
-        Events given.
+        Number of events returned.
     """
 
     def __init__(self, last_id: str = "") -> None:
@@ -26,7 +26,7 @@
         self._resumed = False
 
     def feed(self, data: bytes) -> bytes:
-        """Return the whole events that `data` completes."""
+        """Return the complete events up to the end of `data`."""
         data = self._partial + data
         end = 0
         for match in EVENT_END.finditer(data):
@@ -35,12 +35,12 @@
         return self._forward(data[:end]) if end else b""
 
     def finish(self) -> bytes:
-        """Return what stands behind the last whole event of a whole stream."""
+        """Return the bytes after the last complete event of a complete stream."""
         rest, self._partial = self._partial, b""
         return rest
 
     def resume(self) -> None:
-        """Expect another run, which goes on after `last_id`."""
+        """Expect another attempt, which continues after `last_id`."""
         self._partial = b""
         self._resumed = True
 
@@ -54,7 +54,7 @@
         return events
 
     def _drop_duplicates(self, events: bytes) -> bytes:
-        """Leave out the events that an earlier run gave already."""
+        """Remove events that an earlier attempt has already returned."""
         kept = []
         start = 0
         for match in EVENT_END.finditer(events):
--- a/packages/buckthornwall/src/buckthornwall/forwarding/forwarder.py
+++ b/packages/buckthornwall/src/buckthornwall/forwarding/forwarder.py
@@ -45,17 +45,18 @@
 
 __all__ = ["Forwarder", "ForwardingSettings"]
 
-# Statuses by which HTTP tells a caller that its request was not and will not
-# be run; they are never used for one that may have run.
+# Statuses that tell a client that its request was not and will not be run. They are
+# never used for a request that may have run.
 NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
 BAD_GATEWAY = 502
-# A silent upstream is given up after this many targets, if others may try.
+# An upstream that sends no reply is given up after this multiple of the target, or this
+# fraction of the remaining time, if another may be tried.
 HEAD_TIMEOUT_TARGETS = 4.0
 HEAD_TIMEOUT_FRACTION = 0.5
-# A stream that may be resumed is given up before its first event after so many
-# targets or expected waits, and later after so many of the longest pauses that its
-# contract allows. A connection may go silent for good without a reset, and its
-# callers leave after eight such pauses.
+# A resumable stream is given up before its first event after these multiples of the
+# target or of the expected wait, and later after this multiple of the longest pause
+# that its route allows. A connection may go silent for good without a reset, and
+# clients leave after eight such pauses.
 STREAM_HEAD_TIMEOUT_TARGETS = 2.0
 STREAM_HEAD_TIMEOUT_WAITS = 3.0
 EVENT_TIMEOUT_PAUSES = 4.0
@@ -89,26 +90,26 @@
 
 
 class Forwarder:
-    """Answers requests by attempts at upstreams.
+    """Forwards requests to upstreams, with retries.
 
     Parameters
     ----------
     settings
         The ``[forwarding]`` section.
     zone
-        The zone of this instance.
+        Zone of this instance.
     table
         Routes, teams and pools in force.
     pools
-        Upstreams and what is known of them.
+        Upstreams and their state.
     codec
-        Translates requests and replies.
+        Translation of requests and replies.
     clock
-        Source of time, the one that trio runs on.
+        Source of time; the clock that trio runs on.
     metrics
-        What is counted.
+        Metrics of this instance.
     quarantine
-        Which requests crash upstreams.
+        Records of requests that crash upstreams.
     """
 
     def __init__(
@@ -138,12 +139,12 @@
         self.limit_gate = LimitGate(pools, clock, self._choose)
 
     async def forward(self, request: RoutedRequest, answer: Answer) -> None:
-        """Answer a request.
+        """Send a client the response to its request.
 
         Raises
         ------
         AnswerCut
-            If the answer began and cannot be completed.
+            If the response began and cannot be completed.
         """
         try:
             resolution = self.table.resolve(request)
@@ -172,16 +173,16 @@
             raise
 
     def forget_upstream(self, upstream: UpstreamId) -> None:
-        """Drop connections to an upstream that is gone, and what is known of it."""
+        """Drop the connections and liveness results of an upstream that is gone."""
         self.connections.forget(upstream)
         self.liveness.forget(upstream)
 
     async def refuse_unreadable(self, answer: Answer, refusal: Refusal) -> None:
-        """Answer what could not be read as a request of the platform."""
+        """Refuse a request that could not be decoded."""
         await self._refuse("", None, answer, refusal)
 
     async def refuse_draining(self, request: RoutedRequest, answer: Answer) -> None:
-        """Send a caller to another instance while this one stops."""
+        """Refuse a request while draining, so that the client retries elsewhere."""
         refusal = Refusal(
             ResultCode.NOT_READY, "leaving", retry_after_s=DRAINING_RETRY_S
         )
@@ -207,7 +208,7 @@
             await self._refuse(job.request.id, job, answer, refusal)
 
     async def _run_attempts(self, job: Job) -> Refusal | None:
-        """Try upstreams until one answers; return why none did."""
+        """Try upstreams until one answers; return the refusal if none did."""
         while len(job.tried) < self.settings.most_upstreams:
             if refusal := self.crash_guard.refusal(job):
                 return refusal
@@ -228,7 +229,7 @@
         return choose_upstream(self.pools, job.traits, job.tried, self.zone, now)
 
     def _overload_refusal(self, job: Job, choice: Choice) -> Refusal | None:
-        """Return the refusal of a request that would come far too late, if any."""
+        """Return a refusal if the expected response is far too late, else None."""
         now = self.clock.now()
         overload = find_overload(self.pools, job.traits, choice, now)
         record_decision(self.pools, job.traits, overload is None, now)
@@ -267,7 +268,9 @@
         self.telemetry.record_placement(
             job, choice, expected_s(self.pools, job.traits, choice)
         )
-        job.runs += 1  # until it is known better, should this be cut short
+        job.runs += (
+            1  # the attempt may be cancelled, and counts as run until known otherwise
+        )
         sent_at = self.clock.now()
         result = await attempt.run()
         if result.end in (AttemptEnd.NOT_SENT, AttemptEnd.NOT_RUN):
@@ -288,7 +291,7 @@
         first_sent_at = job.delivery.first_sent_at
         if job.request.prompt is None or first_sent_at is None:
             return
-        if first_sent_at >= sent_at:  # else an earlier attempt brought the first event
+        if first_sent_at >= sent_at:  # else an earlier attempt sent the first event
             pool = job.resolution.pool.id
             seen_s = first_sent_at - sent_at
             self.pools.wait_calibration(pool).record(
@@ -300,10 +303,10 @@
                 )
 
     def _max_idle_s(self, job: Job) -> float:
-        """Return how long a connection may have been idle for this request.
+        """Return the longest idle time of a connection for this request.
 
-        On one that the upstream closed meanwhile a request is lost, and it
-        cannot be told that it was not run.
+        A request sent on a connection that the upstream has closed meanwhile is lost,
+        and cannot be known not to have run.
         """
         if self._is_retryable(job):
             return float("inf")
@@ -312,7 +315,7 @@
     def _head_timeout_s(
         self, job: Job, choice: Choice, remaining_s: float
     ) -> float | None:
-        """Return how long to wait for the head of a reply, if another may try."""
+        """Return the timeout for the head of a reply, None if no other may be tried."""
         if not self._may_run_again(job):
             return None
         route = job.resolution.route
@@ -325,13 +328,13 @@
         return min(remaining_s * HEAD_TIMEOUT_FRACTION, limit_s)
 
     def _event_timeout_s(self, job: Job) -> float | None:
-        """Return how long to wait for the next event, if another may go on."""
+        """Return the timeout for the next event, None if no other may continue."""
         if not self._may_run_again(job):
             return None
         return EVENT_TIMEOUT_PAUSES * job.resolution.route.max_pause_s or None
 
     def _may_run_again(self, job: Job) -> bool:
-        """Tell whether the next attempt need not be the last."""
+        """Return whether the request may run again after the next attempt."""
         runs = job.runs + 1
         return self._is_retryable(job) and runs < job.resolution.route.max_runs
 
@@ -342,7 +345,7 @@
         return route.retryable
 
     def _may_try_another(self, job: Job, result: AttemptResult) -> bool:
-        """Tell whether another upstream may be tried after this end."""
+        """Return whether another upstream may be tried after this result."""
         if result.end is AttemptEnd.FAILED:
             job.last_failed = result
         if job.deadline - self.clock.now() < MIN_REMAINING_S:
@@ -359,7 +362,7 @@
         return True
 
     def _spend_retry(self, job: Job) -> bool:
-        """Take one repeat from the budget; False, and a log line, if spent."""
+        """Take one retry from the budget; log and return False if it is spent."""
         pool = job.resolution.pool.id
         if not self.budgets.spend(pool):
             self.telemetry.record_budget_spent(job, self.budgets.instances)
@@ -368,14 +371,15 @@
         return True
 
     def _record_verdict(self, choice: Choice, result: AttemptResult) -> None:
-        """Let the end of an attempt count for its upstream's health."""
+        """Record the end of an attempt in its upstream's health."""
         if result.end is AttemptEnd.DONE:
             verdict = Verdict.GOOD
         elif result.end is AttemptEnd.NOT_SENT or result.is_misdirected:
-            # Another upstream has its address: it is gone, and others are to know.
+            # If misdirected, another upstream has its address: this one is gone, and
+            # other instances are to be notified.
             verdict = Verdict.UNREACHABLE
         elif result.end is AttemptEnd.NOT_RUN and choice.slot_utilization >= 1:
-            return  # a full upstream that says so is healthy
+            return  # an upstream that refuses because it is full is healthy
         else:
             verdict = Verdict.FAILED
         self.pools.record_outcome(choice.view, verdict)
@@ -389,7 +393,7 @@
     async def _refuse(
         self, request_id: str, job: Job | None, answer: Answer, refusal: Refusal
     ) -> None:
-        """Send the final answer of a request that is not served."""
+        """Send the refusal of a request as its response."""
         status = refusal.code.status
         if refusal.run is not Run.NO and status in NOT_RUN_STATUSES:
             status = BAD_GATEWAY
--- a/packages/buckthornwall/src/buckthornwall/forwarding/job.py
+++ b/packages/buckthornwall/src/buckthornwall/forwarding/job.py
@@ -1,4 +1,4 @@
-"""One request on its way through the attempts."""
+"""The state of a request over all of its attempts."""
 
 from dataclasses import dataclass, field
 
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Prediction:
-    """What was expected of an attempt that was placed `at`; all in seconds."""
+    """Expected timing of an attempt that was placed at `at`; in seconds."""
 
     at: float
     first_s: float
@@ -25,12 +25,12 @@
 
 @dataclass(slots=True)
 class Job:
-    """A request, what was tried for it, and what its caller has.
+    """A request, its attempts, and the response delivered so far.
 
-    `deadline` is when its final answer is due, `traits` what it is decided by, and
-    `fingerprint` what it has in common with the same request sent again. `runs`
-    counts attempts that may have run, `arrivals` those that reached an upstream;
-    `prediction` is that of the last attempt, and `overload` why it was refused.
+    `deadline` is when its final response is due, `traits` are the inputs of placement,
+    and `fingerprint` is the same when the request is sent again. `runs` counts attempts
+    that may have run, `arrivals` those that reached an upstream. `prediction` is that
+    of the last attempt, and `overload` the reason of a refusal.
     """
 
     request: RoutedRequest
--- a/packages/buckthornwall/src/buckthornwall/forwarding/limit_gate.py
+++ b/packages/buckthornwall/src/buckthornwall/forwarding/limit_gate.py
@@ -1,4 +1,4 @@
-"""When a request may be sent to a pool all of whose upstreams have a rate limit."""
+"""Admission of requests to a pool all of whose upstreams have a rate limit."""
 
 from collections.abc import Callable
 
@@ -11,22 +11,23 @@
 
 __all__ = ["LimitGate"]
 
-# A request waits for a token for this part of its target, and looks for one this often.
+# A request waits for a token for at most this fraction of its target, and polls for one
+# at this interval.
 MAX_WAIT_TARGETS = 0.5
 POLL_INTERVAL_S = 0.01
 
 
 class LimitGate:
-    """Lets requests through in the order of urgency, as tokens come.
+    """Admits requests in order of urgency as tokens become available.
 
     Parameters
     ----------
     pools
-        What is known of upstreams, and who waits.
+        Upstreams, and the queues of waiting requests.
     clock
         Source of time.
     choose
-        Returns where a request goes now, or None if nowhere.
+        Returns the upstream for a request now, or None if there is none.
     """
 
     def __init__(
@@ -37,9 +38,10 @@
         self.choose = choose
 
     async def admit(self, job: Job) -> Choice | None:
-        """Return where a request goes, once a token is there; None if none comes soon.
+        """Return the choice for a request once a token is available.
 
-        Repeats do not wait: their callers have waited already.
+        None if no token comes soon. Retries do not wait, since their clients have
+        waited already.
         """
         pool, rank = job.resolution.pool.id, job.resolution.rank
         regions = job.resolution.regions
@@ -52,7 +54,7 @@
         return await self._wait(job)
 
     def _try_choose(self, job: Job) -> Choice | None:
-        """Return where a request goes, if there is a token for its rank."""
+        """Return the choice for a request if a token is available to its rank."""
         pool, rank = job.resolution.pool.id, job.resolution.rank
         queue = self.pools.limit_queue(pool)
         is_first = queue.is_most_urgent(rank, self.clock.now())
@@ -76,7 +78,7 @@
         return None
 
     def _expected_wait_s(self, job: Job) -> float:
-        """Return how long a request would wait for a token, in seconds."""
+        """Return the expected wait for a token, in seconds."""
         pool, regions = job.resolution.pool.id, job.resolution.regions
         wait_s = self.pools.limit_wait_s(pool, regions)
         before = self.pools.limit_queue(pool).count_ahead(job.resolution.rank)
--- a/packages/buckthornwall/src/buckthornwall/forwarding/liveness.py
+++ b/packages/buckthornwall/src/buckthornwall/forwarding/liveness.py
@@ -1,4 +1,4 @@
-"""Whether an upstream has ended, or only a connection to it."""
+"""Checks of whether an upstream has ended, or only a connection to it."""
 
 import trio
 
@@ -9,12 +9,12 @@
 __all__ = ["LivenessChecks"]
 
 NEVER = float("-inf")
-# An upstream that has ended is not asked again for so many seconds.
+# How long a result "ended" is reused.
 ENDED_CACHE_S = 0.3
 
 
 class LivenessChecks:
-    """Asks hosts of upstreams whether anything still listens there.
+    """Checks whether upstreams still accept connections.
 
     Parameters
     ----------
@@ -32,9 +32,9 @@
         self._alive_at: dict[UpstreamId, float] = {}
 
     async def has_ended(self, entry: UpstreamEntry) -> bool:
-        """Tell whether the host of an upstream refuses connections.
+        """Return whether the host of an upstream refuses connections.
 
-        A host that does not answer says nothing: it may be cut off.
+        A host that does not answer counts as alive, since it may be partitioned.
         """
         requested_at = self.clock.now()
         async with self._locks.setdefault(entry.id, trio.Lock()):
@@ -58,7 +58,7 @@
         return False
 
     def forget(self, upstream: UpstreamId) -> None:
-        """Drop what is known of an upstream that is gone."""
+        """Drop the results for an upstream that is gone."""
         self._ended_at.pop(upstream, None)
         self._alive_at.pop(upstream, None)
         lock = self._locks.get(upstream)
--- a/packages/buckthornwall/src/buckthornwall/forwarding/no_upstream.py
+++ b/packages/buckthornwall/src/buckthornwall/forwarding/no_upstream.py
@@ -1,4 +1,4 @@
-"""What a caller is told whose request no upstream takes."""
+"""Refusals of requests for which no upstream is available."""
 
 from buckthornwall.codes import Refusal, ResultCode
 from buckthornwall.pools import PoolTable, retry_after_s
@@ -8,7 +8,7 @@
 __all__ = ["NO_UPSTREAM_RETRY_S", "refusal_without_upstream"]
 
 NO_UPSTREAM_RETRY_S = 0.3
-# Where only operators or returning upstreams can change that no upstream is allowed.
+# Used where only an operator or a returning upstream makes one available again.
 NONE_ALLOWED_RETRY_S = 1.0
 
 
--- a/packages/buckthornwall/src/buckthornwall/forwarding/reply.py
+++ b/packages/buckthornwall/src/buckthornwall/forwarding/reply.py
@@ -1,4 +1,4 @@
-"""An upstream's reply, and how a request is put to it, in the product's words."""
+"""Upstream requests and replies, independent of the wire format."""
 
 import math
 from dataclasses import dataclass
@@ -18,12 +18,11 @@
 class Reply:
     """The head of an upstream's reply.
 
-    `headers` are those that pass to the caller unchanged. `not_run` is set
-    where the upstream states that it did not and will not run the request, and
-    `misdirected` where it is since another upstream has that address now.
-    `rate_limit` is how many requests a second the upstream takes from all instances,
-    infinite without a limit, and None if it does not say.
-    `attested` is set where the reply bears the upstream's signature.
+    `headers` are those that are passed to the client unchanged. `not_run` is set if the
+    upstream states that it did not and will not run the request, and `misdirected` if
+    the reason is that another upstream now has that address. `rate_limit` is how many
+    requests a second the upstream accepts from all instances, infinite without a limit,
+    and None if it does not say. `attested` is set if the upstream signed the reply.
     """
 
     status: int
@@ -39,21 +38,21 @@
 
     @property
     def has_rate_limit(self) -> bool:
-        """Whether the upstream takes only so many requests a second."""
+        """Whether the upstream names a finite rate limit."""
         return self.rate_limit is not None and math.isfinite(self.rate_limit)
 
     @property
     def is_attested_success(self) -> bool:
-        """Whether it is a success that the upstream signed."""
+        """Whether this is a 2xx reply that the upstream signed."""
         return 200 <= self.status < 300 and self.attested
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptContext:
-    """What the system adds to a request for one attempt.
+    """What the router adds to a request for one attempt.
 
-    `copy_from` is the address of an engine that holds parts of the prompt, from
-    which the upstream may copy them in place of reading them; '' for none.
+    `copy_from` is the address of an engine that has segments of the prompt in its KV
+    cache, from which the upstream may copy them instead of computing them; '' for none.
     """
 
     upstream: UpstreamEntry
@@ -65,10 +64,10 @@
 
 
 class WireCodec(Protocol):
-    """Translates between requests and the platform's headers."""
+    """Translates requests and replies to and from the platform's headers."""
 
     def encode(self, request: RoutedRequest, context: AttemptContext) -> Headers:
-        """Return the headers that an upstream is sent."""
+        """Return the headers of a request to an upstream."""
 
     def decode(self, head: ReplyHead) -> Reply:
-        """Return an upstream's reply."""
+        """Return an upstream's reply from its head."""
--- a/packages/buckthornwall/src/buckthornwall/forwarding/request_telemetry.py
+++ b/packages/buckthornwall/src/buckthornwall/forwarding/request_telemetry.py
@@ -1,4 +1,4 @@
-"""What is logged and counted of requests."""
+"""Log lines and metrics of requests."""
 
 import math
 from collections.abc import Callable
@@ -16,12 +16,12 @@
 
 
 class RequestTelemetry:
-    """Writes the lines and counts of requests, each with what decided it.
+    """Logs and counts requests, with the inputs of each decision.
 
     Parameters
     ----------
     metrics
-        What is counted.
+        Metrics of this instance.
     clock
         Source of time.
     """
@@ -29,13 +29,14 @@
     def __init__(self, metrics: RouterMetrics, clock: Clock) -> None:
         self.metrics = metrics
         self.clock = clock
-        # Pairs of a line that tell what a request without a route was judged by.
+        # Returns the log fields on the state of this instance, for requests without a
+        # route.
         self.describe_freshness: Callable[[], dict[str, object]] = dict
 
     def record_refusal(
         self, request_id: str, job: Job | None, refusal: Refusal, status: int
     ) -> None:
-        """Log and count an own answer; `job` is None if nothing was resolved."""
+        """Log and count a refusal; `job` is None if no route was resolved."""
         self.metrics.refusals.inc({"code": refusal.code.name})
         self._count_end(job, "refused")
         log_event(
@@ -52,7 +53,7 @@
         )
 
     def record_budget_spent(self, job: Job, instances: float) -> None:
-        """Log that no repeat is left for a request."""
+        """Log that the retry budget is spent when a request needs a retry."""
         log_event(
             "budget_spent",
             "WARNING",
@@ -63,7 +64,7 @@
         )
 
     def _describe(self, job: Job | None) -> dict[str, object]:
-        """Return the pairs of a log line that tell a request's way."""
+        """Return the log fields that describe a request and its attempts."""
         if job is None:
             return self.describe_freshness()
         now = self.clock.now()
@@ -87,7 +88,7 @@
         }
 
     def record_placement(self, job: Job, choice: Choice, expected_s: float) -> None:
-        """Log where an attempt goes, and what that was decided by."""
+        """Log the upstream of an attempt and the inputs of its choice."""
         view = choice.view
         job.prediction = Prediction(self.clock.now(), expected_s, choice.pause_s)
         log_event(
@@ -118,7 +119,7 @@
         sent_at: float,
         upstream_ended: bool,
     ) -> None:
-        """Count the end of an attempt, and log it unless all is well."""
+        """Count the end of an attempt, and log it if it failed."""
         upstream = choice.view.id
         now = self.clock.now()
         self.metrics.attempts.inc({"upstream": upstream, "end": result.end.value})
@@ -158,7 +159,7 @@
             self._record_prediction_errors(job, tier)
 
     def _record_prediction_errors(self, job: Job, tier: dict[str, str]) -> None:
-        """Count how far a stream of one attempt was from what was expected of it."""
+        """Count the prediction errors of a stream with one attempt."""
         if len(job.tried) != 1 or job.prediction is None:
             return
         seen_s = job.delivery.first_sent_at - job.prediction.at
@@ -167,7 +168,7 @@
         self.metrics.pause_error.add(tier, abs(pause_s - job.prediction.pause_s))
 
     def record_end(self, job: Job, outcome: str) -> None:
-        """Log and count the end of a request by an upstream's answer, or none."""
+        """Log and count the end of a request that was not refused."""
         self._count_end(job, outcome)
         log_event(
             "request_finished",
@@ -182,7 +183,7 @@
 
 
 def _describe_overload(job: Job | None) -> dict[str, object]:
-    """Return the pairs that tell why a request was refused, if for overload."""
+    """Return the log fields of an overload refusal, or none."""
     overload = job.overload if job is not None else None
     if overload is None:
         return {}
@@ -197,6 +198,6 @@
 
 
 def _silent_ms(choice: Choice, now: float) -> int | str:
-    """Return since when this instance has had nothing from an upstream, or ''."""
+    """Return the time since the last data from an upstream, or '' if none."""
     answered_at = choice.view.reachability.answered_at
     return "" if math.isinf(answered_at) else round((now - answered_at) * 1000)
