--- a/packages/buckthornwall-standins/src/buckthornwall_standins/peers_sim/word_age.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/peers_sim/word_age.py
@@ -134,7 +134,7 @@
         # Beacons go out ten times a second, and are made as often for other ends.
         if self.draw.random() < PARTS_PER_S / 30:
             part = f"{self.draw.getrandbits(32):08x}"
-            updates.note(self.draw.choice(self.engines), [(part, 3800)], now)
+            updates.record(self.draw.choice(self.engines), [(part, 3800)], now)
         return updates.to_send(now)
 
     async def _look(self, found: WordAge) -> None:
--- a/packages/buckthornwall/src/buckthornwall/pools/decision.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/decision.py
@@ -9,7 +9,7 @@
 from .expectation import calibration_factor, expected_on_engine_s, expected_s
 from .overload import is_late
 from .placement import (
-    FREE_TARGET_SHARE,
+    DISCOUNTED_TARGET_SHARE,
     Choice,
     PlacementRequest,
     choose_engine,
@@ -52,20 +52,22 @@
         return choose_service(views, zone, now)
     route = traits.resolution.route
     # A stream that may not pause stays away from engines in need, if it can.
-    steady = [view for view in views if not view.rate_limit.is_limited(now)] or views
+    unlimited = [view for view in views if not view.rate_limit.is_limited(now)] or views
     split = pools.reserved_engines(pool.id).split(
-        steady, now, route if traits.pause_sensitive else None
+        unlimited, now, route if traits.pause_sensitive else None
     )
-    wanted = _wanted(pools, traits, split, zone)
-    compared = split.open_to(traits.id, now) if traits.pause_sensitive else views
-    choice = choose_engine(compared, wanted, now)
-    if choice is None or not _has_deficit(pools, traits, choice, now):
+    request = _placement_request(pools, traits, split, zone)
+    eligible = (
+        split.eligible_engines(traits.id, now) if traits.pause_sensitive else views
+    )
+    choice = choose_engine(eligible, request, now)
+    if choice is None or not _should_spread(pools, traits, choice, now):
         return choice
-    in_time = _in_time(pools, traits, split, now)
-    return choose_engine(in_time, wanted, now, holders=views) or choice
+    on_time = _engines_in_time(pools, traits, split, now)
+    return choose_engine(on_time, request, now, copy_sources=views) or choice
 
 
-def _wanted(
+def _placement_request(
     pools: PoolTable, traits: RequestTraits, split: Split, zone: ZoneId
 ) -> PlacementRequest:
     """Return how a prompt is to be placed."""
@@ -75,7 +77,7 @@
         prompt=traits.prompt,
         rank=rank,
         zone=zone,
-        discounted_wait_s=FREE_TARGET_SHARE
+        discounted_wait_s=DISCOUNTED_TARGET_SHARE
         * target_s
         / calibration_factor(pools, traits),
         target_s=target_s,
@@ -87,7 +89,7 @@
     )
 
 
-def _has_deficit(
+def _should_spread(
     pools: PoolTable, traits: RequestTraits, choice: Choice, now: float
 ) -> bool:
     """Tell whether a late request is to be compared at all engines.
@@ -102,7 +104,7 @@
     return is_late(wait_s, target_s) and has_deficit(pools, traits, now)
 
 
-def _in_time(
+def _engines_in_time(
     pools: PoolTable, traits: RequestTraits, split: Split, now: float
 ) -> list[UpstreamView]:
     """Return the engines at which a request is expected to begin in time."""
--- a/packages/buckthornwall/src/buckthornwall/pools/fleet_memory.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/fleet_memory.py
@@ -15,7 +15,7 @@
 __all__ = ["FleetMemory"]
 
 # Who was live within so many seconds has its part still.
-REMEMBERED_S = 30.0
+RETENTION_S = 30.0
 # Who knows of nobody else has no part for so many seconds after its start: the others
 # may not have heard of it, nor it of them.
 SETTLE_S = 3.0
@@ -36,18 +36,21 @@
         self.started_at = now
         self._zones = dict.fromkeys(zones, now)
         self._members: dict[str, float] = {}
-        self._most = 0
-        self._most_at = now
+        self._max_instances = 0
+        self._max_instances_at = now
 
     def record(self, fleet: Fleet, now: float) -> None:
         """Record who is live now."""
         self._zones |= dict.fromkeys(fleet.zones, now)
         self._members |= dict.fromkeys(fleet.members, now)
-        if fleet.instances >= self._most or now - self._most_at > REMEMBERED_S:
-            self._most = fleet.instances
-            self._most_at = now
+        if (
+            fleet.instances >= self._max_instances
+            or now - self._max_instances_at > RETENTION_S
+        ):
+            self._max_instances = fleet.instances
+            self._max_instances_at = now
         for seen in (self._zones, self._members):
-            for name in [n for n, at in seen.items() if now - at > REMEMBERED_S]:
+            for name in [n for n, at in seen.items() if now - at > RETENTION_S]:
                 del seen[name]
 
     def recent(self, fleet: Fleet, now: float) -> Fleet:
@@ -61,9 +64,13 @@
             The time in seconds.
         """
         is_settled = now - self.started_at >= SETTLE_S
-        members = tuple(sorted(self._members)) if is_settled or self._most > 1 else ()
+        members = (
+            tuple(sorted(self._members))
+            if is_settled or self._max_instances > 1
+            else ()
+        )
         # Until more is known a large fleet is assumed, of which each has a small part.
-        instances = self._most if is_settled else math.inf
+        instances = self._max_instances if is_settled else math.inf
         return Fleet(
             fleet.address, fleet.zone, tuple(sorted(self._zones)), members, instances
         )
--- a/packages/buckthornwall/src/buckthornwall/pools/ledger.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/ledger.py
@@ -40,12 +40,12 @@
 
     def record_admitted(self, rank: int, tokens: int, now: float) -> None:
         """Record that a request was sent to an engine."""
-        _forget(self._admitted, now)
+        _expire(self._admitted, now)
         self._admitted.append(_Entry(now, rank, tokens))
 
     def record_refused(self, rank: int, tokens: int, now: float) -> None:
         """Record that a request was refused for overload."""
-        _forget(self._refused, now)
+        _expire(self._refused, now)
         self._refused.append(_Entry(now, rank, tokens))
 
     def has_deficit(self, rank: int, tokens: int, now: float) -> bool:
@@ -58,7 +58,7 @@
 
     def refused(self, rank: int, now: float) -> int:
         """Return the tokens refused of ranks as urgent as one, or more."""
-        _forget(self._refused, now)
+        _expire(self._refused, now)
         return sum(each.tokens for each in self._refused if each.rank <= rank)
 
     def should_defer(self, rank: int, tokens: int, now: float) -> bool:
@@ -72,10 +72,10 @@
 
     def _admitted_below(self, rank: int, now: float) -> int:
         """Return the tokens let in of ranks less urgent than one."""
-        _forget(self._admitted, now)
+        _expire(self._admitted, now)
         return sum(each.tokens for each in self._admitted if each.rank > rank)
 
 
-def _forget(entries: deque[_Entry], now: float) -> None:
+def _expire(entries: deque[_Entry], now: float) -> None:
     while entries and now - entries[0].at > WINDOW_S:
         entries.popleft()
--- a/packages/buckthornwall/src/buckthornwall/pools/load.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/load.py
@@ -7,7 +7,7 @@
 __all__ = ["NO_PEERS", "Load", "LoadReport", "PeerLoad"]
 
 # A report older than this says nothing that own counts do not say better.
-REPORT_LIFE_S = 1.0
+MAX_REPORT_AGE_S = 1.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -69,13 +69,13 @@
         self.peers = NO_PEERS
         self.report: LoadReport | None = None
         self._report_at = 0.0
-        self._own_at_report = 0
+        self._requests_at_report = 0
 
     def record_report(self, report: LoadReport, now: float) -> None:
         """Note what came with a reply at `now`."""
         self.report = report
         self._report_at = now
-        self._own_at_report = self.requests
+        self._requests_at_report = self.requests
 
     def add_pending_prefill(self, rank: int, tokens: int) -> None:
         """Count prompt tokens of a rank, or no longer if negative."""
@@ -96,11 +96,11 @@
     def in_flight(self, now: float) -> int:
         """Return the best guess of the requests there, running or waiting."""
         counted = self.requests + self.peers.requests
-        if self.report is None or now - self._report_at > REPORT_LIFE_S:
+        if self.report is None or now - self._report_at > MAX_REPORT_AGE_S:
             return counted
-        said = self.report.running + self.report.waiting
-        since = self.requests - self._own_at_report
-        return max(counted, said + since)
+        reported = self.report.running + self.report.waiting
+        since = self.requests - self._requests_at_report
+        return max(counted, reported + since)
 
     def report_age_ms(self, now: float) -> int | str:
         """Return how old the upstream's own report is, or '' without any."""
@@ -108,7 +108,7 @@
 
     def waiting(self, now: float) -> int:
         """Return the requests that the upstream said wait there for a slot."""
-        if self.report is None or now - self._report_at > REPORT_LIFE_S:
+        if self.report is None or now - self._report_at > MAX_REPORT_AGE_S:
             return 0
         return self.report.waiting
 
--- a/packages/buckthornwall/src/buckthornwall/pools/overload.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/overload.py
@@ -7,31 +7,31 @@
 __all__ = ["is_hopeless", "is_late", "is_loaded", "is_overloaded", "retry_after_s"]
 
 # A request is refused when its first token is expected after this many targets.
-MOST_TARGETS = 0.8
+MAX_TARGETS = 0.8
 # It is not refused for its own length: that much of the target must be a wait for
 # others, or the longest prompts would be sent away as often as they came.
-LEAST_AHEAD_TARGETS = 0.4
+MIN_QUEUEING_TARGETS = 0.4
 # A request that less urgent ones were let in before is taken until it is expected after
 # so many targets; its caller may have left by then.
-MOST_TARGETS_BEFORE_OTHERS = 3.0
+MAX_TARGETS_WITH_DEFICIT = 3.0
 # A pool of which less is in use is not overloaded, whatever one engine says.
-IDLE_SHARE = 0.5
+MIN_LOADED_SHARE = 0.5
 # Who is refused comes back when what is ahead has been served, and half as much again
 # that came meanwhile; sooner, he would come into the same overload. Retries are bounded
 # in seconds.
-RETRY_WAITS = 1.5
-LEAST_RETRY_S = 0.1
-MOST_RETRY_S = 2.0
+RETRY_FACTOR = 1.5
+MIN_RETRY_S = 0.1
+MAX_RETRY_S = 2.0
 
 
 def is_late(expected_s: float, target_s: float) -> bool:
     """Tell whether a first token is expected too late to take a request for it."""
-    return expected_s > MOST_TARGETS * target_s
+    return expected_s > MAX_TARGETS * target_s
 
 
 def is_hopeless(expected_s: float, target_s: float) -> bool:
     """Tell whether a request comes too late to be taken before less urgent ones."""
-    return expected_s > MOST_TARGETS_BEFORE_OTHERS * target_s
+    return expected_s > MAX_TARGETS_WITH_DEFICIT * target_s
 
 
 def is_overloaded(
@@ -58,7 +58,7 @@
     """
     if not is_late(expected_s, target_s):
         return False
-    if expected_s - own_prefill_s <= LEAST_AHEAD_TARGETS * target_s:
+    if expected_s - own_prefill_s <= MIN_QUEUEING_TARGETS * target_s:
         return False
     return is_loaded(views, now)
 
@@ -70,9 +70,9 @@
         return True
     slots = sum(view.entry.slots for view in views)
     in_use = sum(min(view.load.in_flight(now), view.entry.slots) for view in views)
-    return in_use >= IDLE_SHARE * slots
+    return in_use >= MIN_LOADED_SHARE * slots
 
 
 def retry_after_s(expected_s: float) -> float:
     """Return when a refused request should come back, in seconds."""
-    return min(MOST_RETRY_S, max(LEAST_RETRY_S, RETRY_WAITS * expected_s))
+    return min(MAX_RETRY_S, max(MIN_RETRY_S, RETRY_FACTOR * expected_s))
--- a/packages/buckthornwall/src/buckthornwall/pools/placement.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/placement.py
@@ -21,43 +21,43 @@
 # A missing shared token counts the more often the later its engine stands in
 # the hash order of the part. So what leaves the first home goes to the same
 # second one from every instance, and a hot part spreads no further than it must.
-WEIGHT_STEP = 0.5
-MOST_WEIGHT = 4.0
+AFFINITY_WEIGHT_STEP = 0.5
+MAX_AFFINITY_WEIGHT = 4.0
 # A prompt is compared at its first homes, and at so many engines besides, by its
 # own draw. Compared at all, every instance would send what leaves its home to the
 # engine that was last told to be idle.
-HOMES = 2
-DRAWN = 3
+AFFINITY_CANDIDATES = 2
+SAMPLED_CANDIDATES = 3
 # A wait that leaves the target in reach is cheap: part of the target for which
 # that holds, and what a token ahead then counts.
-FREE_TARGET_SHARE = 0.4
-FREE_WEIGHT = 0.3
+DISCOUNTED_TARGET_SHARE = 0.4
+DISCOUNTED_WEIGHT = 0.3
 # Each request that runs beside slows every step: as a part of a quiet step.
-RUNNING_STEPS = 0.15
+DECODE_STEPS_PER_RUNNING = 0.15
 # A request that waits for a slot there waits for about so many quiet steps.
-QUEUED_STEPS = 7.5
+DECODE_STEPS_PER_QUEUED = 7.5
 # An engine whose memory is taken up to this part preempts requests, urgent ones too
 # where all that run are urgent; a new one then counts for so many seconds more, about
 # the reading of one long prompt again. Parts that prompts share are counted for each,
 # so the part may be the whole.
-MOST_MEMORY = 1.0
-FULL_S = 0.4
+MAX_MEMORY_SHARE = 1.0
+MEMORY_FULL_PENALTY_S = 0.4
 # What is read later than this request counts for those behind it.
-BEHIND_WEIGHT = 0.2
+LATER_PREFILL_WEIGHT = 0.2
 # Fewer missing tokens are read as quickly as they are copied.
-LEAST_COPIED_TOKENS = 500
+MIN_COPIED_TOKENS = 500
 # The way to another zone and back, in seconds.
-ZONE_S = 0.0012
+CROSS_ZONE_RTT_S = 0.0012
 # An engine that is still warming up: part of the seconds left.
-COLD_SHARE = 0.08
+COLD_START_WEIGHT = 0.08
 # A prompt that would stretch the pauses of pause-sensitive streams too far counts, for
 # each of them, as a wait of this part of its own target: little where few are there,
 # more than any wait where many are. Shut to all prompts that harm at all, reserved
 # engines would stand half idle in small pools.
-HARM_TARGET_SHARE = 0.3
+PAUSE_PENALTY_TARGET_SHARE = 0.3
 # Another zone, and warming up, at a plain service: as shares of its slots.
-SERVICE_ZONE_SHARE = 0.1
-SERVICE_COLD_SHARE = 1.0
+SERVICE_CROSS_ZONE_PENALTY = 0.1
+SERVICE_COLD_PENALTY = 1.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -108,7 +108,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Offer:
+class _Candidate:
     """One engine's cost for a prompt, in seconds."""
 
     cost: float
@@ -118,9 +118,9 @@
 
 def choose_engine(
     views: list[UpstreamView],
-    wanted: PlacementRequest,
+    request: PlacementRequest,
     now: float,
-    holders: list[UpstreamView] | None = None,
+    copy_sources: list[UpstreamView] | None = None,
 ) -> Choice | None:
     """Return the engine with the least work for a prompt, or None without any.
 
@@ -142,108 +142,126 @@
     if not views:
         return None
     by_id = {view.id: view for view in views}
-    homes = _homes(by_id, wanted)
-    holder = _holder(views, wanted.prompt)
-    source = holder if holders is None else _holder(holders, wanted.prompt)
-    offers = [
-        _offer(by_id[name], wanted, place, now)
-        for place, name in _compared(homes, holder.id, wanted.sampling_key)
+    affinity_order = _affinity_order(by_id, request)
+    best_cached = _best_cached(views, request.prompt)
+    copy_source = (
+        best_cached
+        if copy_sources is None
+        else _best_cached(copy_sources, request.prompt)
+    )
+    candidates = [
+        _evaluate(by_id[name], request, position, now)
+        for position, name in _candidates(
+            affinity_order, best_cached.id, request.sampling_key
+        )
     ]
-    best = min(offers, key=lambda offer: offer.cost)
+    best = min(candidates, key=lambda candidate: candidate.cost)
     load = best.view.load
     pending_prefill = load.total_pending_prefill()
-    own_prefill_s = wanted.model.prefill_s(best.uncached_tokens)
+    own_prefill_s = request.model.prefill_s(best.uncached_tokens)
     return Choice(
         best.view,
         best.uncached_tokens,
         own_prefill_s
-        + wanted.model.prefill_s(load.pending_prefill_before(wanted.rank)),
+        + request.model.prefill_s(load.pending_prefill_before(request.rank)),
         own_prefill_s,
         _slot_utilization(best.view, now),
-        load.oldest_wait_before_s(wanted.rank, now),
-        _copy_from(best.view, source, wanted.prompt),
+        load.oldest_wait_before_s(request.rank, now),
+        _copy_from(best.view, copy_source, request.prompt),
         pending_prefill == 0,
-        wanted.model.pause_s(
-            wanted.tokens_per_event, pending_prefill + best.uncached_tokens
+        request.model.pause_s(
+            request.tokens_per_event, pending_prefill + best.uncached_tokens
         ),
     )
 
 
-def _holder(views: list[UpstreamView], prompt: PromptShape) -> UpstreamView:
+def _best_cached(views: list[UpstreamView], prompt: PromptShape) -> UpstreamView:
     """Return the engine that is likely to hold most of a prompt."""
     return max(views, key=lambda view: view.prefixes.cached_tokens(prompt))
 
 
-def _homes(by_id: Iterable[UpstreamId], wanted: PlacementRequest) -> list[UpstreamId]:
+def _affinity_order(
+    by_id: Iterable[UpstreamId], request: PlacementRequest
+) -> list[UpstreamId]:
     """Return the engines in the order of homes of a prompt, reserved ones last."""
-    order = rendezvous_order(wanted.prompt.affinity_key, by_id)
-    return sorted(order, key=lambda name: name in wanted.reserved)
+    order = rendezvous_order(request.prompt.affinity_key, by_id)
+    return sorted(order, key=lambda name: name in request.reserved)
 
 
-def _copy_from(chosen: UpstreamView, holder: UpstreamView, prompt: PromptShape) -> str:
+def _copy_from(
+    chosen: UpstreamView, best_cached: UpstreamView, prompt: PromptShape
+) -> str:
     """Return where the engine chosen may copy shared parts from, or ''."""
-    missing = holder.prefixes.cached_tokens(prompt) - chosen.prefixes.cached_tokens(
+    missing = best_cached.prefixes.cached_tokens(
         prompt
-    )
-    return "" if missing < LEAST_COPIED_TOKENS else holder.entry.address
+    ) - chosen.prefixes.cached_tokens(prompt)
+    return "" if missing < MIN_COPIED_TOKENS else best_cached.entry.address
 
 
-def _compared(
-    homes: list[str], holder: str, sampling_key: str
+def _candidates(
+    affinity_order: list[str], best_cached: str, sampling_key: str
 ) -> list[tuple[int, str]]:
     """Return the engines to compare, each with its place in the order of homes."""
-    drawn = rendezvous_order(sampling_key, homes[HOMES:])[:DRAWN]
-    chosen = {*homes[:HOMES], holder, *drawn}
-    return [(place, name) for place, name in enumerate(homes) if name in chosen]
+    sampled = rendezvous_order(sampling_key, affinity_order[AFFINITY_CANDIDATES:])[
+        :SAMPLED_CANDIDATES
+    ]
+    chosen = {*affinity_order[:AFFINITY_CANDIDATES], best_cached, *sampled}
+    return [
+        (position, name)
+        for position, name in enumerate(affinity_order)
+        if name in chosen
+    ]
 
 
-def _offer(
-    view: UpstreamView, wanted: PlacementRequest, place: int, now: float
-) -> _Offer:
-    prompt = wanted.prompt
+def _evaluate(
+    view: UpstreamView, request: PlacementRequest, position: int, now: float
+) -> _Candidate:
+    prompt = request.prompt
     shared = sum(segment.tokens for segment in prompt.segments[:-1])
     cached = view.prefixes.cached_tokens(prompt)
     uncached = max(0, prompt.prompt_tokens - cached)
     missing = max(0, shared - cached)
-    weight = min(MOST_WEIGHT, 1 + WEIGHT_STEP * place)
-    ahead_s = _ahead_s(view, wanted, now)
+    weight = min(MAX_AFFINITY_WEIGHT, 1 + AFFINITY_WEIGHT_STEP * position)
+    delay_s = _delay_s(view, request, now)
     if _is_full(view, prompt):
-        ahead_s += FULL_S
-    ahead_s -= (1 - FREE_WEIGHT) * min(ahead_s, wanted.discounted_wait_s)
-    cost = ahead_s + wanted.model.prefill_s(uncached + (weight - 1) * missing)
-    if view.entry.zone != wanted.zone:
-        cost += ZONE_S
-    if view.id in wanted.reserved:
-        cost += _harm(view, wanted, uncached)
-    return _Offer(cost, view, uncached)
-
-
-def _harm(view: UpstreamView, wanted: PlacementRequest, uncached: int) -> float:
+        delay_s += MEMORY_FULL_PENALTY_S
+    delay_s -= (1 - DISCOUNTED_WEIGHT) * min(delay_s, request.discounted_wait_s)
+    cost = delay_s + request.model.prefill_s(uncached + (weight - 1) * missing)
+    if view.entry.zone != request.zone:
+        cost += CROSS_ZONE_RTT_S
+    if view.id in request.reserved:
+        cost += _pause_penalty_s(view, request, uncached)
+    return _Candidate(cost, view, uncached)
+
+
+def _pause_penalty_s(
+    view: UpstreamView, request: PlacementRequest, uncached: int
+) -> float:
     """Return what a prompt does to pause-sensitive streams of an engine, in seconds."""
     pending_prefill = view.load.total_pending_prefill() + uncached
-    pause_s = wanted.model.pause_s(wanted.tokens_per_event, pending_prefill)
-    if pause_s <= SAFE_PAUSE_SHARE * wanted.max_pause_s:
+    pause_s = request.model.pause_s(request.tokens_per_event, pending_prefill)
+    if pause_s <= SAFE_PAUSE_SHARE * request.max_pause_s:
         return 0.0
     streams = max(1, view.load.total_pause_sensitive())
-    return HARM_TARGET_SHARE * wanted.target_s * streams
+    return PAUSE_PENALTY_TARGET_SHARE * request.target_s * streams
 
 
 def _is_full(view: UpstreamView, prompt: PromptShape) -> bool:
     """Tell whether an engine has no memory left for a prompt."""
     needed = view.load.total_memory_tokens() + prompt.memory_tokens
-    return needed > MOST_MEMORY * view.prefixes.memory_tokens
+    return needed > MAX_MEMORY_SHARE * view.prefixes.memory_tokens
 
 
-def _ahead_s(view: UpstreamView, wanted: PlacementRequest, now: float) -> float:
+def _delay_s(view: UpstreamView, request: PlacementRequest, now: float) -> float:
     """Return the work at an engine before a prompt, in seconds."""
     in_flight = view.load.in_flight(now)
     queued = max(0, in_flight - view.entry.slots)
-    before = view.load.pending_prefill_before(wanted.rank)
-    behind = view.load.total_pending_prefill() - before
-    steps = in_flight * RUNNING_STEPS + queued * QUEUED_STEPS
-    reading_s = wanted.model.prefill_s(before + BEHIND_WEIGHT * behind)
-    cold_s = COLD_SHARE * view.cold_s(now)
-    return reading_s + steps * wanted.model.decode_step_s + cold_s
+    earlier = view.load.pending_prefill_before(request.rank)
+    later = view.load.total_pending_prefill() - earlier
+    steps = in_flight * DECODE_STEPS_PER_RUNNING + queued * DECODE_STEPS_PER_QUEUED
+    prefill_s = request.model.prefill_s(earlier + LATER_PREFILL_WEIGHT * later)
+    cold_s = COLD_START_WEIGHT * view.cold_s(now)
+    return prefill_s + steps * request.model.decode_step_s + cold_s
 
 
 def _slot_utilization(view: UpstreamView, now: float) -> float:
@@ -259,8 +277,8 @@
 
     def cost(view: UpstreamView) -> float:
         share = _slot_utilization(view, now)
-        share += SERVICE_COLD_SHARE * (view.cold_s(now) > 0)
-        return share + SERVICE_ZONE_SHARE * (view.entry.zone != zone)
+        share += SERVICE_COLD_PENALTY * (view.cold_s(now) > 0)
+        return share + SERVICE_CROSS_ZONE_PENALTY * (view.entry.zone != zone)
 
     view = min(views, key=cost)
     return Choice(view, 0, 0.0, 0.0, _slot_utilization(view, now))
--- a/packages/buckthornwall/src/buckthornwall/pools/prefix_updates.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/prefix_updates.py
@@ -1,9 +1,9 @@
-"""Which shared parts were sent to which engine, as instances tell each other.
+"""Which shared segments were sent to which engine, as instances tell each other.
 
 One instance sees only its share of the prompts: of those that reached the home of
-their shared part, most were the first ones there from this instance, and not the
+their shared segment, most were the first ones there from this instance, and not the
 first ones of all. What is told costs some bytes a prompt; what is not known makes a
-part that nobody has read look like one that is cached.
+segment that nobody has read look like one that is cached.
 """
 
 import itertools
@@ -13,16 +13,16 @@
 
 __all__ = ["CachedPrefixes", "PrefixUpdates", "merge_cached_prefixes"]
 
-# By upstream, the parts that were sent there: id and tokens.
+# By upstream, the segments that were sent there: id and tokens.
 CachedPrefixes = dict[UpstreamId, list[tuple[str, int]]]
 
-# Seconds for which a part is told, so that a lost datagram costs nothing.
+# Seconds for which a segment is told, so that a lost datagram costs nothing.
 REPEAT_S = 0.35
-# A part that is used again is told again after this long, so that others do not
+# A segment that is used again is told again after this long, so that others do not
 # take it to have left the engine's memory.
 REFRESH_S = 10.0
-# Shorter parts, in tokens, are read as quickly as they are copied, and would crowd the
-# others out of a message.
+# Shorter segments, in tokens, are read as quickly as they are copied, and would crowd
+# the others out of a message.
 MIN_SENT_TOKENS = 500
 # Parts in one message at most, the newest first; about 15 bytes each.
 MAX_SENT_PREFIXES = 96
@@ -39,47 +39,47 @@
 
     def __init__(self, repeat_s: float = REPEAT_S) -> None:
         self.repeat_s = repeat_s
-        self._noted: dict[tuple[UpstreamId, str], tuple[int, float]] = {}
+        self._recorded: dict[tuple[UpstreamId, str], tuple[int, float]] = {}
 
-    def note(
-        self, upstream: UpstreamId, parts: Iterable[tuple[str, int]], now: float
+    def record(
+        self, upstream: UpstreamId, segments: Iterable[tuple[str, int]], now: float
     ) -> None:
-        """Record that parts were sent to an engine at `now`."""
-        for part, tokens in parts:
+        """Record that segments were sent to an engine at `now`."""
+        for segment, tokens in segments:
             if tokens < MIN_SENT_TOKENS:
                 continue
-            key = (upstream, part)
-            before = self._noted.get(key)
+            key = (upstream, segment)
+            before = self._recorded.get(key)
             if before is None or now - before[1] > REFRESH_S:
-                self._noted.pop(key, None)  # the newest stand last
-                self._noted[key] = (tokens, now)
+                self._recorded.pop(key, None)  # the newest stand last
+                self._recorded[key] = (tokens, now)
 
     def receive(self, cached_prefixes: CachedPrefixes, now: float) -> None:
         """Take what another instance told."""
-        for upstream, parts in cached_prefixes.items():
-            self.note(upstream, parts, now)
+        for upstream, segments in cached_prefixes.items():
+            self.record(upstream, segments, now)
 
     def to_send(self, now: float) -> CachedPrefixes:
         """Return what is to be told now."""
-        self._forget(now)
+        self._expire(now)
         cached_prefixes: CachedPrefixes = {}
-        newest = itertools.islice(reversed(self._noted.items()), MAX_SENT_PREFIXES)
-        for (upstream, part), (tokens, at) in newest:
+        newest = itertools.islice(reversed(self._recorded.items()), MAX_SENT_PREFIXES)
+        for (upstream, segment), (tokens, at) in newest:
             if now - at > self.repeat_s:
                 break
-            cached_prefixes.setdefault(upstream, []).append((part, tokens))
+            cached_prefixes.setdefault(upstream, []).append((segment, tokens))
         return cached_prefixes
 
-    def _forget(self, now: float) -> None:
-        while self._noted:
-            key = next(iter(self._noted))
-            if now - self._noted[key][1] <= REFRESH_S:
+    def _expire(self, now: float) -> None:
+        while self._recorded:
+            key = next(iter(self._recorded))
+            if now - self._recorded[key][1] <= REFRESH_S:
                 return
-            del self._noted[key]
+            del self._recorded[key]
 
 
-def merge_cached_prefixes(total: CachedPrefixes, part: CachedPrefixes) -> None:
+def merge_cached_prefixes(total: CachedPrefixes, update: CachedPrefixes) -> None:
     """Add what one instance told to a total."""
-    for upstream, parts in part.items():
+    for upstream, segments in update.items():
         known = total.setdefault(upstream, [])
-        known.extend(each for each in parts if each not in known)
+        known.extend(each for each in segments if each not in known)
--- a/packages/buckthornwall/src/buckthornwall/pools/prefixes.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/prefixes.py
@@ -13,7 +13,7 @@
 
 # Engines keep running requests in the same memory; this share is left to
 # segments that were read for earlier ones.
-MEMORY_SHARE = 0.5
+PREFIX_CACHE_SHARE = 0.5
 
 
 class PrefixCacheEstimate:
@@ -37,7 +37,7 @@
     @property
     def capacity_tokens(self) -> float:
         """Tokens that segments of earlier requests may take."""
-        return self.memory_tokens * MEMORY_SHARE
+        return self.memory_tokens * PREFIX_CACHE_SHARE
 
     def cached_tokens(self, prompt: PromptShape) -> int:
         """Return how many leading tokens of a prompt lie there."""
@@ -48,11 +48,13 @@
             tokens += segment.tokens
         return tokens
 
-    def note(self, prompt: PromptShape) -> None:
+    def record(self, prompt: PromptShape) -> None:
         """Record that the prompt is read there now."""
-        self.receive((segment.id, segment.tokens) for segment in prompt.segments)
+        self.record_segments(
+            (segment.id, segment.tokens) for segment in prompt.segments
+        )
 
-    def receive(self, segments: Iterable[tuple[str, int]]) -> None:
+    def record_segments(self, segments: Iterable[tuple[str, int]]) -> None:
         """Record that segments are read there now, each by id and tokens."""
         for segment, tokens in segments:
             if segment in self._segments:
--- a/packages/buckthornwall/src/buckthornwall/pools/refusal.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/refusal.py
@@ -92,8 +92,8 @@
         return
     resolution = traits.resolution
     ledger = pools.ledger(resolution.pool.id)
-    note = ledger.record_admitted if is_admitted else ledger.record_refused
-    note(resolution.rank, traits.prompt.prompt_tokens, now)
+    record = ledger.record_admitted if is_admitted else ledger.record_refused
+    record(resolution.rank, traits.prompt.prompt_tokens, now)
 
 
 def _refusal_reason(
@@ -108,13 +108,13 @@
     target_s = traits.resolution.route.target_s
     pool, regions = traits.resolution.pool.id, traits.resolution.regions
     # With nothing before it a prompt would only be refused for its own length.
-    is_alone = choice.wait_s <= choice.own_prefill_s and not choice.oldest_wait_s
-    if is_alone or not is_overloaded(
+    has_no_queue = choice.wait_s <= choice.own_prefill_s and not choice.oldest_wait_s
+    if has_no_queue or not is_overloaded(
         wait_s, choice.own_prefill_s, target_s, usable, now
     ):
         is_scarce = is_loaded(usable, now) or pools.is_limited(pool, regions)
-        should_wait = is_scarce and _should_defer(pools, traits, now)
-        return RefusalReason.YIELDS if should_wait else None
+        should_defer = is_scarce and _should_defer(pools, traits, now)
+        return RefusalReason.YIELDS if should_defer else None
     if choice.slot_utilization >= 1 or is_hopeless(wait_s, target_s):
         return RefusalReason.LATE
     return None if has_deficit(pools, traits, now) else RefusalReason.LATE
--- a/packages/buckthornwall/src/buckthornwall/pools/reserved.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/reserved.py
@@ -26,13 +26,13 @@
 SAFE_PAUSE_SHARE = 0.8
 # Quiet engines are filled to this part of their slots: what one loss cuts off stays
 # bounded, and a burst fits.
-FILL_SHARE = 0.4
+TARGET_UTILIZATION = 0.4
 # Demand below this part of a stream is the rest of a decay, not a stream.
 MIN_DEMAND = 0.02
 # At most this part of a pool is kept for pause-sensitive streams.
-MAX_SHARE = 1 / 3
+MAX_RESERVED_SHARE = 1 / 3
 # Demand falls off with this time constant, so that the set does not flap.
-DECAY_S = 5.0
+DEMAND_DECAY_S = 5.0
 
 
 def is_pause_sensitive(
@@ -78,7 +78,7 @@
         """Ids of the reserved engines."""
         return frozenset(view.id for view in self.reserved)
 
-    def open_to(self, key: str, now: float) -> list[UpstreamView]:
+    def eligible_engines(self, key: str, now: float) -> list[UpstreamView]:
         """Return the engines that a pause-sensitive stream may go to.
 
         Those that overflow are drawn by their key: sent to the few engines kept that
@@ -119,7 +119,7 @@
         self._reserved: set[UpstreamId] = set()
         self._event_tokens = 0
         self._pauses: list[float] = []
-        self._seen_pause_s = math.inf
+        self._min_seen_pause_s = math.inf
         self._ordered_ids: list[UpstreamId] = []
         self._order: list[UpstreamId] = []
 
@@ -137,10 +137,10 @@
         prompts to the reserved engines for them.
         """
         event_s = self._event_tokens * self.model.p90_prefill_step_s
-        shortest = next(iter(self._pauses), math.inf)
-        if event_s <= SAFE_PAUSE_SHARE * shortest:
-            shortest = math.inf
-        return min(shortest, self._seen_pause_s)
+        min_pause_s = next(iter(self._pauses), math.inf)
+        if event_s <= SAFE_PAUSE_SHARE * min_pause_s:
+            min_pause_s = math.inf
+        return min(min_pause_s, self._min_seen_pause_s)
 
     def split(
         self,
@@ -162,23 +162,23 @@
             that no engine holds yet.
         """
         if arriving is not None:
-            self._seen_pause_s = min(self._seen_pause_s, arriving.max_pause_s)
+            self._min_seen_pause_s = min(self._min_seen_pause_s, arriving.max_pause_s)
         self._update_demand(views, now, arriving is not None)
         by_id = {view.id: view for view in views}
-        order = self._order_of(list(by_id))
-        most = int(len(order) * MAX_SHARE)
+        order = self._hash_order(list(by_id))
+        max_size = int(len(order) * MAX_RESERVED_SHARE)
         slots = max((view.entry.slots for view in views), default=1)
-        filled = self._demand / (slots * FILL_SHARE)
-        size = min(most, math.ceil(filled)) if self._demand >= MIN_DEMAND else 0
+        needed = self._demand / (slots * TARGET_UTILIZATION)
+        size = min(max_size, math.ceil(needed)) if self._demand >= MIN_DEMAND else 0
         self._reserved = set(order[:size])
-        room = size * slots * FILL_SHARE
+        capacity = size * slots * TARGET_UTILIZATION
         return Split(
             reserved=[by_id[name] for name in order[:size]],
             others=[by_id[name] for name in order[size:]],
-            overflow=max(0.0, 1 - room / self._demand) if size else 0.0,
+            overflow=max(0.0, 1 - capacity / self._demand) if size else 0.0,
         )
 
-    def _order_of(self, ids: list[UpstreamId]) -> list[UpstreamId]:
+    def _hash_order(self, ids: list[UpstreamId]) -> list[UpstreamId]:
         """Return engines in their hash order, kept from one request to the next."""
         if ids != self._ordered_ids:
             self._ordered_ids = ids
@@ -195,6 +195,6 @@
             / (1 if view.id in self._reserved else slowdown)
             for view in views
         )
-        faded = self._demand * math.exp((self._demand_at - now) / DECAY_S)
-        self._demand = max(running, faded)
+        decayed = self._demand * math.exp((self._demand_at - now) / DEMAND_DECAY_S)
+        self._demand = max(running, decayed)
         self._demand_at = now
--- a/packages/buckthornwall/src/buckthornwall/pools/table.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/table.py
@@ -125,16 +125,16 @@
 
     def note_prompt(self, view: UpstreamView, prompt: PromptShape) -> None:
         """Record a prompt sent to an engine, and report its segments to peers."""
-        view.prefixes.note(prompt)
+        view.prefixes.record(prompt)
         shared = [(segment.id, segment.tokens) for segment in prompt.segments[:-1]]
-        self.prefix_updates.note(view.id, shared, self.clock.now())
+        self.prefix_updates.record(view.id, shared, self.clock.now())
 
     def receive_cached_prefixes(self, cached_prefixes: CachedPrefixes) -> None:
         """Record which segments other instances sent to engines."""
         for upstream, segments in cached_prefixes.items():
             view = self.views.get(upstream)
             if view is not None:
-                view.prefixes.receive(segments)
+                view.prefixes.record_segments(segments)
 
     def members(self, pool: PoolId) -> Iterable[UpstreamView]:
         """Return every registered upstream of a pool."""
--- a/packages/buckthornwall/src/buckthornwall/pools/tests/test_cold.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/tests/test_cold.py
@@ -12,7 +12,7 @@
     UpstreamState,
     choose_upstream,
 )
-from buckthornwall.pools.fleet_memory import REMEMBERED_S, SETTLE_S
+from buckthornwall.pools.fleet_memory import RETENTION_S, SETTLE_S
 from buckthornwall.utils import UpstreamId, ZoneId
 
 from .helpers import POOL, prompt, traits
@@ -132,7 +132,7 @@
 
 
 def test_who_was_gone_for_long_counts_no_longer(memory):
-    now = 11.0 + REMEMBERED_S
+    now = 11.0 + RETENTION_S
     memory.record(ALONE, now)
     lately = memory.recent(ALONE, now)
     assert (lately.members, lately.instances) == (ALONE.members, 1)
--- a/packages/buckthornwall/src/buckthornwall/pools/tests/test_load.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/tests/test_load.py
@@ -31,11 +31,11 @@
 
 
 def test_an_engine_holds_what_was_read_as_far_as_its_memory_goes():
-    memory = PrefixCacheEstimate(12_000)
-    memory.note(prompt("s", "x"))
-    assert memory.cached_tokens(prompt("s", "y")) == 4000
-    memory.note(prompt("t", "z"))
-    assert memory.cached_tokens(prompt("s", "y")) == 0
+    cache = PrefixCacheEstimate(12_000)
+    cache.record(prompt("s", "x"))
+    assert cache.cached_tokens(prompt("s", "y")) == 4000
+    cache.record(prompt("t", "z"))
+    assert cache.cached_tokens(prompt("s", "y")) == 0
 
 
 def test_a_pace_follows_what_is_seen():
--- a/packages/buckthornwall/src/buckthornwall/pools/tests/test_overload.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/tests/test_overload.py
@@ -73,7 +73,7 @@
     """Read anew wherever there is room, it leaves none for anybody."""
     wanted = traits(prompt(shared_tokens=13_000), tier=2)
     home = decide(busy, clock, wanted)[0].view
-    home.prefixes.note(wanted.prompt)
+    home.prefixes.record(wanted.prompt)
     let_in(busy, clock, 7)
     fill(busy, 0, 20_000, (home.id,))
     assert decide(busy, clock, wanted)[0].view is home
--- a/packages/buckthornwall/src/buckthornwall/pools/tests/test_placement.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/tests/test_placement.py
@@ -42,7 +42,7 @@
     views = table.usable(POOL, set())
     homes = rendezvous_order("s", [view.id for view in views])
     holder = table.views[homes[-1]]
-    holder.prefixes.receive([("s", 40_000)])
+    holder.prefixes.record_segments([("s", 40_000)])
     assert choose(table, clock, prompt(shared_tokens=40_000)).view is holder
 
 
@@ -54,7 +54,7 @@
     choice = choose(table, clock, prompt())
     assert choice.view is not home
     assert choice.copy_from == home.entry.address
-    choice.view.prefixes.note(prompt())
+    choice.view.prefixes.record(prompt())
     assert choose(table, clock, prompt()).copy_from == ""
 
 
--- a/packages/buckthornwall/src/buckthornwall/pools/tests/test_regions.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/tests/test_regions.py
@@ -44,7 +44,7 @@
 
 
 def test_memory_is_not_copied_from_another_region(pools):
-    pools.views["b"].prefixes.note(prompt())
+    pools.views["b"].prefixes.record(prompt())
     choice = chosen(pools, frozenset({"east"}))
     assert choice.copy_from == ""
 
--- a/packages/buckthornwall/src/buckthornwall/pools/tests/test_reserved.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/tests/test_reserved.py
@@ -158,7 +158,9 @@
     for view in split.reserved[1:]:
         view.load.requests = 10
     keys = [str(number) for number in range(400)]
-    everywhere = sum(len(split.open_to(key, clock.now())) == 12 for key in keys)
+    everywhere = sum(
+        len(split.eligible_engines(key, clock.now())) == 12 for key in keys
+    )
     assert 150 < everywhere < 250
 
 
--- a/packages/buckthornwall/src/buckthornwall/pools/tests/test_table.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/tests/test_table.py
@@ -30,7 +30,7 @@
     view = table.views["a"]
     view.load.requests = 3
     view.load.peers = PeerLoad(2, {0: 900})
-    view.prefixes.note(PROMPT)
+    view.prefixes.record(PROMPT)
     table.record_outcome(view, Verdict.UNREACHABLE)
     return table
 
