--- a/packages/buckthornwall/src/buckthornwall/forwarding/tests/conftest.py
+++ b/packages/buckthornwall/src/buckthornwall/forwarding/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures that the tests of forwarding share."""
+"""Shared fixtures of the forwarding tests."""
 
 import pytest
 import trio
@@ -62,7 +62,7 @@
         for number, script in enumerate(scripts):
             address = script if isinstance(script, str) else await raw_upstream(*script)
             forward.addresses.append(address)
-            # More slots look less loaded, so the scripts are used in turn.
+            # More slots look less loaded, so upstreams are tried in this order.
             slots = 1000 if number == 0 else 100 - number
             pools.adopt(
                 UpstreamEntry(
@@ -80,7 +80,7 @@
             pools.views[limited].rate_limit.set_share(local_per_s, clock.now())
         settings = ForwardingSettings(retry_ratio=0.0, retry_reserve=reserve)
         quarantine = QuarantineTable(QuarantineSettings())
-        subject = Forwarder(
+        forwarder = Forwarder(
             settings,
             ZoneId("z"),
             table,
@@ -91,13 +91,13 @@
             quarantine,
         )
         forward.quarantine = quarantine
-        forward.metrics, forward.pools = subject.metrics, pools
-        subject.budgets.instances = 1.0
+        forward.metrics, forward.pools = forwarder.metrics, pools
+        forwarder.budgets.instances = 1.0
         request = RoutedRequest("r", b"POST", b"/", "h", "/", [], b"x", clock.now())
         request.client_timeout_s = client_timeout_s
         answer = Recorder()
         with trio.fail_after(5):
-            await subject.forward(request, answer)
+            await forwarder.forward(request, answer)
         return answer
 
     def arrivals():
--- a/packages/buckthornwall/src/buckthornwall/forwarding/tests/helpers.py
+++ b/packages/buckthornwall/src/buckthornwall/forwarding/tests/helpers.py
@@ -1,4 +1,4 @@
-"""Replies of scripted upstreams, a plain codec, and an answer that is recorded."""
+"""Scripted upstream replies, a minimal codec and a recorded response."""
 
 import json
 
@@ -14,7 +14,7 @@
 NOT_RUN = b"HTTP/1.1 503 Busy\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"
 
 
-def whole(status=200, body=b"ok", request="r", extra=b""):
+def reply(status=200, body=b"ok", request="r", extra=b""):
     head = b"HTTP/1.1 %d Any\r\nX-Id: %s\r\nX-Signed: 1\r\n" % (
         status,
         request.encode(),
@@ -36,7 +36,7 @@
 
 
 class PlainCodec:
-    """A codec of a few short names."""
+    """A codec with a few short header names."""
 
     def encode(self, request, context):
         headers = [
@@ -62,7 +62,7 @@
 
 
 class Recorder:
-    """An answer that keeps what it is given."""
+    """A response that records what is sent to the client."""
 
     def __init__(self):
         self.started = self.ended = False
--- a/packages/buckthornwall/src/buckthornwall/forwarding/tests/test_connections.py
+++ b/packages/buckthornwall/src/buckthornwall/forwarding/tests/test_connections.py
@@ -1,4 +1,4 @@
-"""Tests of connections to upstreams that are kept or given up."""
+"""Tests of connections to upstreams that are reused or closed."""
 
 import pytest
 import trio
@@ -11,7 +11,7 @@
 ENGINE = UpstreamId("e")
 
 
-async def test_what_is_in_flight_at_an_upstream_that_started_again_fails_at_once(
+async def test_exchange_fails_at_once_when_upstream_restarts(
     raw_upstream, clock, nursery
 ):
     address = await raw_upstream(60.0, b"")
@@ -32,7 +32,7 @@
         await failed.wait()
 
 
-async def test_a_connection_given_back_is_not_in_flight(raw_upstream, clock):
+async def test_released_connection_is_reused(raw_upstream, clock):
     address = await raw_upstream(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", 60.0)
     cache = ConnectionCache(clock, 1.0)
     connection = await cache.acquire(ENGINE, address, 1.0)
--- a/packages/buckthornwall/src/buckthornwall/forwarding/tests/test_limit_gate.py
+++ b/packages/buckthornwall/src/buckthornwall/forwarding/tests/test_limit_gate.py
@@ -1,4 +1,4 @@
-"""Tests of who is sent, waits or is turned away at a pool with rate limits."""
+"""Tests of admission to a pool with rate limits."""
 
 from types import SimpleNamespace
 
@@ -16,7 +16,7 @@
 
 
 class Gate:
-    """A gate before one upstream; `sent` are the ranks that it let through."""
+    """A gate of a pool with one upstream; `sent` lists the admitted ranks."""
 
     def __init__(self):
         self.clock = TrioClock()
@@ -60,11 +60,11 @@
     return Gate()
 
 
-async def test_a_request_goes_on_at_once_where_nothing_is_limited(gate):
+async def test_request_is_admitted_at_once_without_rate_limit(gate):
     assert await gate.ask(ROUTINE)
 
 
-async def test_the_most_urgent_that_wait_go_first(autojump_clock, gate, nursery):
+async def test_waiting_requests_are_admitted_by_urgency(autojump_clock, gate, nursery):
     gate.limit(5.0)
     for rank in (ROUTINE, URGENT):
         nursery.start_soon(gate.ask, rank, 4.0)
@@ -73,22 +73,24 @@
     assert gate.sent == [URGENT, ROUTINE]
 
 
-async def test_nobody_waits_for_a_token_that_comes_too_late(autojump_clock, gate):
+async def test_request_is_rejected_at_once_if_token_comes_too_late(
+    autojump_clock, gate
+):
     gate.limit(0.5)
     began = trio.current_time()
     assert await gate.ask(URGENT) is None
     assert trio.current_time() == began
 
 
-async def test_who_comes_as_a_limit_ends_is_not_turned_away(autojump_clock, gate):
-    """Others still waited for a token, and it was refused behind them."""
+async def test_request_is_admitted_when_limit_has_ended(autojump_clock, gate):
+    """Requests that still wait for a token must not cause its refusal."""
     gate.limit(2.0)
     with gate.pools.limit_queue(POOL).join(URGENT):
         gate.pools.rate_limits.record(gate.view, UNLIMITED)
         assert await gate.ask(ROUTINE)
 
 
-async def test_a_repeat_does_not_wait_behind_others(autojump_clock, gate):
+async def test_retry_does_not_wait_behind_queued_requests(autojump_clock, gate):
     gate.limit(2.0)
     await trio.sleep(1.0)
     with gate.pools.limit_queue(POOL).join(URGENT):
--- a/packages/buckthornwall/src/buckthornwall/forwarding/tests/test_liveness.py
+++ b/packages/buckthornwall/src/buckthornwall/forwarding/tests/test_liveness.py
@@ -1,4 +1,4 @@
-"""Tests of telling an upstream that has ended from a connection that broke off."""
+"""Tests of distinguishing an ended upstream from a lost connection."""
 
 import pytest
 
@@ -19,20 +19,22 @@
     return LivenessChecks(TrioClock(), 0.2)
 
 
-async def test_an_upstream_that_still_listens_has_not_ended(checks, raw_upstream):
+async def test_listening_upstream_has_not_ended(checks, raw_upstream):
     assert not await checks.has_ended(entry(await raw_upstream(b"")))
 
 
-async def test_an_upstream_whose_port_refuses_has_ended(checks):
+async def test_upstream_whose_port_refuses_connections_has_ended(checks):
     assert await checks.has_ended(entry("127.0.0.1:1"))
 
 
-async def test_a_host_that_does_not_answer_says_nothing(checks):
-    """A cut link looks the same."""
+async def test_unreachable_host_does_not_count_as_ended(checks):
+    """A network partition looks the same."""
     assert not await checks.has_ended(entry("not-an-address:1"))
 
 
-async def test_attempts_that_one_end_cut_share_a_check(checks, nursery, monkeypatch):
+async def test_concurrent_checks_of_one_upstream_connect_once(
+    checks, nursery, monkeypatch
+):
     asked = []
 
     async def refuses(address):
--- a/packages/buckthornwall/src/buckthornwall/forwarding/tests/test_streams.py
+++ b/packages/buckthornwall/src/buckthornwall/forwarding/tests/test_streams.py
@@ -1,4 +1,4 @@
-"""Tests of streams of events: what passes, resumes elsewhere or is cut."""
+"""Tests of event streams that are forwarded, resumed elsewhere or cut."""
 
 import pytest
 
@@ -10,13 +10,13 @@
 from .helpers import event, stream
 
 
-async def test_a_stream_passes_by_whole_events(forward):
+async def test_stream_is_forwarded_by_complete_events(forward):
     answer = await forward([stream(1, 2, 3)], response_mode=ResponseMode.EVENT_STREAM)
     assert answer.body == event(1) + event(2) + event(3)
     assert answer.ended
 
 
-async def test_what_was_expected_of_a_stream_is_compared_with_what_was_seen(forward):
+async def test_prediction_errors_of_stream_are_counted(forward):
     await forward([0.1, stream(1, 2)], response_mode=ResponseMode.EVENT_STREAM)
     text, _ = forward.metrics.render("text/plain")
     assert b'buckthornwall_first_token_error_seconds_count{tier="1"} 1' in text
@@ -24,7 +24,7 @@
     assert b'buckthornwall_pause_error_seconds_count{tier="1"} 1' in text
 
 
-async def test_a_resumable_stream_goes_on_after_its_last_event(forward):
+async def test_resumable_stream_continues_after_last_event(forward):
     answer = await forward(
         [stream(1, 2, end=False), b""],
         [stream(3, 4)],
@@ -35,10 +35,10 @@
     assert b"last-event-id: 2" in forward.requests[forward.addresses[1]][0]
 
 
-async def test_a_resumable_stream_goes_on_elsewhere_when_its_connection_goes_silent(
+async def test_resumable_stream_continues_elsewhere_when_connection_is_silent(
     forward,
 ):
-    """No reset tells of it: the connection stays open and brings nothing more."""
+    """The connection stays open without a reset and delivers nothing more."""
     answer = await forward(
         [stream(1, 2, end=False), 5.0, b""],
         [stream(3, 4)],
@@ -48,14 +48,14 @@
     assert answer.ended
 
 
-async def test_a_resumable_stream_that_never_begins_is_begun_elsewhere(forward):
+async def test_resumable_stream_without_reply_is_started_elsewhere(forward):
     answer = await forward(
         [5.0, b""], [stream(1, 2)], response_mode=ResponseMode.EVENT_STREAM
     )
     assert answer.body == event(1) + event(2)
 
 
-async def test_a_silent_stream_that_may_not_be_resumed_is_waited_for(forward):
+async def test_silent_stream_that_is_not_resumable_is_waited_for(forward):
     answer = await forward(
         [0.9, stream(1, 2)],
         [stream(1)],
@@ -66,7 +66,7 @@
     assert forward.arrivals() == [1, 0]
 
 
-async def test_events_that_come_again_are_left_out(forward):
+async def test_duplicate_events_are_dropped(forward):
     answer = await forward(
         [stream(1, 2, end=False), b""],
         [stream(2, 3)],
@@ -75,7 +75,7 @@
     assert answer.body == event(1) + event(2) + event(3)
 
 
-async def test_a_stream_that_may_not_be_resumed_is_cut_visibly(forward):
+async def test_broken_stream_that_is_not_resumable_is_cut_visibly(forward):
     with pytest.raises(AnswerCut):
         await forward(
             [stream(1, end=False), b""],
@@ -86,7 +86,7 @@
     assert forward.arrivals() == [1, 0]
 
 
-async def test_an_event_cut_in_the_middle_is_not_passed_on(forward):
+async def test_incomplete_event_is_not_forwarded(forward):
     part = b"5\r\nid: 9\r\n"
     answer = await forward(
         [stream(1, end=False) + part, b""],
