--- a/packages/buckthornwall/src/buckthornwall/__init__.py
+++ b/packages/buckthornwall/src/buckthornwall/__init__.py
@@ -28,7 +28,7 @@
 `routing`       routes, teams and pools as the operator published them
 `pools`         upstreams: load, health, likely memory, placement
 `forwarding`    attempts at upstreams until a request is answered
-`discovery`     news of configuration and upstreams, put in force
+`discovery`     watches the store and applies its updates
 `peers`         what instances tell each other
 `router`        the assembly
 =============== ==========================================================
--- a/packages/buckthornwall/src/buckthornwall/discovery/__init__.py
+++ b/packages/buckthornwall/src/buckthornwall/discovery/__init__.py
@@ -1,8 +1,8 @@
-"""What is published and who is registered, kept up to date on this instance.
+"""Service discovery: keep the configuration and the upstreams up to date.
 
 ============= ============================================================
-`updates`     changes as a source tells them
-`agent`       the task that reads a source and applies its updates
+`updates`     updates of the store, and the protocol of their source
+`agent`       the task that watches the source and applies its updates
 ============= ============================================================
 """
 
--- a/packages/buckthornwall/src/buckthornwall/discovery/agent.py
+++ b/packages/buckthornwall/src/buckthornwall/discovery/agent.py
@@ -1,4 +1,4 @@
-"""The task that reads a source and applies its updates."""
+"""The task that watches the source and applies its updates."""
 
 import math
 from collections.abc import Callable
@@ -24,15 +24,14 @@
 RETRY_FIRST_S = 0.05
 RETRY_LIMIT_S = 0.5
 POLL_S = 0.1
-# What is missing in the answers of this long after an outage may have run out
-# in it; what is removed later is removed by its upstream, and gets no more work.
+# A registration that is missing this soon after an outage may have expired during it.
+# A later removal was made by the upstream itself, and applies at once.
 DEFER_REMOVALS_S = 0.5
 MS_PER_S = 1000.0
-# An answer this much older than the longest watch no longer vouches for the
-# source: whoever was paused or cut off may not know of an outage yet.
+# The uptime is unknown if the last answer is older than the longest watch by more than
+# this: an instance that was paused or cut off may not have noticed an outage yet.
 UPTIME_MARGIN_S = 1.0
-# Watches are this short while removals are deferred, so that the end of the doubt
-# is not waited out in one.
+# Watches are short while removals are deferred, so that no watch outlasts the deferral.
 MAX_DEFERRED_WATCH_S = 0.3
 
 
@@ -62,24 +61,25 @@
 
 
 class DiscoveryAgent:
-    """Keeps routes and upstreams as the newest update says.
+    """Applies the newest updates to routes and upstreams.
 
-    Where `may_read` says so, others read, and their updates are adopted.
+    While `may_read` returns False other instances read the store, and their updates
+    are adopted.
 
-    While the source is away nothing changes here. Registrations run out during
-    an outage although their upstreams live, so what is missing after one is
-    only taken to be missing when the upstreams have had time to register again.
+    While the store is unavailable nothing changes. Registrations expire during an
+    outage although their upstreams are alive, so those that are missing afterwards are
+    only removed once the upstreams have had time to register again.
 
     Parameters
     ----------
     settings
         The ``[discovery]`` section.
     source
-        The source.
+        Source of updates.
     decode
-        Reads the operator's configuration.
+        Decodes the operator's configuration.
     table, pools
-        What is kept up to date.
+        The routes and the upstreams to keep up to date.
     clock
         Source of time.
     """
@@ -117,7 +117,7 @@
         self._deferred_removals: set[UpstreamId] = set()
 
     async def run(self) -> None:
-        """Read and watch until cancelled."""
+        """Read and watch the source until cancelled."""
         backoff = Backoff(RETRY_FIRST_S, RETRY_LIMIT_S)
         needs_snapshot = True
         while True:
@@ -144,13 +144,13 @@
             await trio.sleep(self.settings.gap_ms / MS_PER_S)
 
     async def _wait_until_reader(self) -> None:
-        """Wait while others read for this instance."""
+        """Wait while other instances read for this one."""
         if self.may_read():
             return
         self.is_store_unavailable = False
         while not self.may_read():
-            # What was deferred while this instance read is not forgotten, or upstreams
-            # that have ended would be tried here for seconds longer than by readers.
+            # Removals deferred while this instance read still apply; otherwise it would
+            # try ended upstreams for seconds longer than readers do.
             self.remove_deferred()
             await trio.sleep(POLL_S)
         self.answered_at = self._store_up_since = self.clock.now()
@@ -161,7 +161,7 @@
         return await self.source.watch(self.revision, self.max_watch_s())
 
     def max_watch_s(self) -> float:
-        """Return how long the next watch may wait, in seconds."""
+        """Return the longest duration of the next watch, in seconds."""
         limit_s = self.settings.watch_ms / MS_PER_S
         if self._deferred_removals:
             left_s = max(0.0, self._remove_deferred_at - self.clock.now())
@@ -169,7 +169,7 @@
         return limit_s
 
     def record_failure(self, error: PeerError) -> None:
-        """Record that the source did not answer."""
+        """Record that the source did not answer, which may begin an outage."""
         silent_s = self.clock.now() - self.answered_at
         if (
             not self.is_store_unavailable
@@ -181,7 +181,7 @@
             )
 
     def record_answer(self) -> None:
-        """Record that the source answered."""
+        """Record that the source answered, which ends an outage."""
         now = self.clock.now()
         if self.read_at == -math.inf:
             self._store_up_since = now
@@ -190,12 +190,12 @@
             self._store_up_since = now
             self._defer_removals_until = now + DEFER_REMOVALS_S
             self._remove_deferred_at = now + self.settings.settle_ms / MS_PER_S
-            away_ms = round((now - self.answered_at) * MS_PER_S)
-            log_event("store_regained", away_ms=away_ms, revision=self.revision)
+            outage_ms = round((now - self.answered_at) * MS_PER_S)
+            log_event("store_regained", away_ms=outage_ms, revision=self.revision)
         self.answered_at = self.read_at = now
 
     def adopt(self, update: StoreUpdate) -> None:
-        """Apply an update."""
+        """Apply an update to routes, upstreams and zones."""
         if update.published is not None:
             self._adopt_published(update.published)
         self._adopt_entries(update)
@@ -214,9 +214,9 @@
         self.on_change()
 
     def _adopt_entries(self, update: StoreUpdate) -> None:
-        """Put registrations in force; what is new here may have just started.
+        """Apply registrations, and assume new upstreams to be cold.
 
-        That does not hold of what an instance finds when it starts itself.
+        The first update is an exception: its upstreams need not have just started.
         """
         known = set(self.pools.views)
         restarted = set()
@@ -249,7 +249,7 @@
             )
 
     def _adopt_zones(self, update: StoreUpdate) -> None:
-        """Put in force which zones are evacuated, as far as it is newer."""
+        """Apply the evacuation records that are newer than the known ones."""
         evacuations = self.pools.evacuations
         for zone, revision in update.evacuated.items():
             if not self.pools.knows_zone(zone):
@@ -275,9 +275,9 @@
             self.pools.rate_limits.assume_cold(self.pools.in_zone(zone))
 
     def store_uptime_s(self) -> float:
-        """Return for how long the source has answered here without an outage.
+        """Return the time since the last outage as seen by this instance, in seconds.
 
-        0 where it has not answered lately, or others read for this instance.
+        0 if the source has not answered lately, or other instances read for this one.
         """
         now = self.clock.now()
         max_age_s = self.settings.watch_ms / MS_PER_S + UPTIME_MARGIN_S
@@ -286,22 +286,22 @@
         return now - self._store_up_since
 
     def remove_deferred(self) -> None:
-        """Take what is still missing long enough after an outage to be missing."""
+        """Remove upstreams that have not registered again in time after an outage."""
         if self._deferred_removals and self.clock.now() >= self._remove_deferred_at:
             deferred, self._deferred_removals = self._deferred_removals, set()
             self._remove(deferred)
 
     def receive_store_uptime(self, seconds: float) -> None:
-        """Believe the next answer where only this instance was cut off.
+        """Stop deferring removals if only this instance could not reach the source.
 
-        Taken as an outage of the source, its own silence would keep upstreams that
-        have left in use.
+        Otherwise it would treat that as an outage of the source, and go on using
+        upstreams that have left.
 
         Parameters
         ----------
         seconds
-            For how long the source has answered some instance without an outage.
-            Its list has settled where that is over the time to remove_deferred.
+            Longest time for which the source has answered any instance without an
+            outage. If it exceeds `settle_ms`, the registrations are complete.
         """
         if seconds * MS_PER_S > self.settings.settle_ms:
             now = self.clock.now()
--- a/packages/buckthornwall/src/buckthornwall/discovery/tests/test_agent.py
+++ b/packages/buckthornwall/src/buckthornwall/discovery/tests/test_agent.py
@@ -1,4 +1,4 @@
-"""Tests of what an instance does with updates, and without them."""
+"""Tests of applying updates, and of outages of their source."""
 
 import pytest
 import trio
@@ -38,40 +38,40 @@
     return DiscoveryAgent(DiscoverySettings(), None, decode, table, pools, clock)
 
 
-def away_for(agent, clock, seconds: float) -> None:
-    """Let the source be away, and answer again."""
+def outage_of(agent, clock, seconds: float) -> None:
+    """Let the source be unavailable, and then answer again."""
     clock.time += seconds
     agent.record_failure(PeerError(ResultCode.PLATFORM_UNREACHABLE, "reset"))
     agent.record_answer()
 
 
-def test_an_older_configuration_never_comes_back(agent):
+def test_older_configuration_is_not_adopted(agent):
     agent.adopt(update(1, published=b"7"))
     agent.adopt(update(2, published=b"6"))
     assert agent.table.number == 7
 
 
-def test_a_malformed_configuration_leaves_the_one_in_force(agent):
+def test_malformed_configuration_is_not_adopted(agent):
     agent.adopt(update(1, published=b"7"))
     agent.adopt(update(2, published=b"{"))
     assert agent.table.number == 7
 
 
-def test_a_removed_upstream_goes_at_once(agent):
+def test_removed_upstream_is_dropped_at_once(agent):
     agent.adopt(update(1, "a", "b", is_snapshot=True))
     agent.adopt(update(2, removed=["a"]))
     assert list(agent.pools.views) == ["b"]
 
 
-def test_what_a_whole_read_lacks_is_gone(agent):
+def test_upstream_missing_in_a_snapshot_is_dropped(agent):
     agent.adopt(update(1, "a", "b", is_snapshot=True))
     agent.adopt(update(2, "b", is_snapshot=True))
     assert list(agent.pools.views) == ["b"]
 
 
-def test_what_ran_out_in_an_outage_may_come_back(agent, clock):
+def test_registration_that_expired_in_an_outage_may_be_renewed(agent, clock):
     agent.adopt(update(1, "a", "b", is_snapshot=True))
-    away_for(agent, clock, 5.0)
+    outage_of(agent, clock, 5.0)
     agent.adopt(update(2, removed=["a", "b"]))
     assert set(agent.pools.views) == {"a", "b"}
     clock.time += 1.0
@@ -81,20 +81,20 @@
     assert list(agent.pools.views) == ["a"]
 
 
-def test_a_removal_long_after_an_outage_counts_at_once(agent, clock):
-    """An upstream that leaves 0.8 s after an outage must get no new work."""
+def test_removal_long_after_an_outage_is_not_deferred(agent, clock):
+    """An upstream that leaves 0.8 s after an outage must get no new requests."""
     agent.adopt(update(1, "a", "b", is_snapshot=True))
-    away_for(agent, clock, 9.0)
+    outage_of(agent, clock, 9.0)
     agent.adopt(update(2))
     clock.time += 0.8
     agent.adopt(update(3, removed=["a"]))
     assert list(agent.pools.views) == ["b"]
 
 
-def test_who_was_cut_off_alone_believes_removals_at_once(agent, clock):
-    """The store answered others all the while, so nothing ran out meanwhile."""
+def test_instance_that_alone_lost_the_store_does_not_defer_removals(agent, clock):
+    """The store kept answering other instances, so no registration expired."""
     agent.adopt(update(1, "a", "b", is_snapshot=True))
-    away_for(agent, clock, 5.0)
+    outage_of(agent, clock, 5.0)
     agent.adopt(update(2, removed=["a"]))
     agent.receive_store_uptime(30.0)
     assert agent.max_watch_s() == 0.0
@@ -105,9 +105,9 @@
     assert not agent.pools.views
 
 
-def test_what_registered_again_is_heard_before_removals_are_believed(agent, clock):
+def test_renewed_registration_cancels_a_deferred_removal(agent, clock):
     agent.adopt(update(1, "a", is_snapshot=True))
-    away_for(agent, clock, 5.0)
+    outage_of(agent, clock, 5.0)
     agent.adopt(update(2, removed=["a"]))
     agent.receive_store_uptime(9.0)
     agent.adopt(update(3, "a"))
@@ -115,9 +115,9 @@
     assert list(agent.pools.views) == ["a"]
 
 
-def test_others_that_saw_the_same_outage_settle_nothing_early(agent, clock):
+def test_uptime_since_the_same_outage_does_not_end_the_deferral_early(agent, clock):
     agent.adopt(update(1, "a", is_snapshot=True))
-    away_for(agent, clock, 5.0)
+    outage_of(agent, clock, 5.0)
     agent.adopt(update(2, removed=["a"]))
     agent.receive_store_uptime(0.3)
     clock.time += 1.8
@@ -129,44 +129,44 @@
     assert not agent.pools.views
 
 
-def test_answers_are_unbroken_since_the_last_outage(agent, clock):
+def test_store_uptime_counts_from_the_last_outage(agent, clock):
     assert agent.store_uptime_s() == 0.0
     agent.record_answer()
     clock.time += 1.0
     agent.record_answer()
     clock.time += 0.5
     assert agent.store_uptime_s() == pytest.approx(1.5)
-    away_for(agent, clock, 5.0)
+    outage_of(agent, clock, 5.0)
     clock.time += 0.7
     assert agent.store_uptime_s() == pytest.approx(0.7)
 
 
-def test_an_old_answer_vouches_for_nothing(agent, clock):
+def test_store_uptime_is_zero_after_an_old_answer(agent, clock):
     agent.record_answer()
     clock.time += 4.0
     assert agent.store_uptime_s() == 0.0
 
 
-def test_watches_are_short_while_removals_are_doubted(agent, clock):
+def test_watches_are_short_while_removals_are_deferred(agent, clock):
     agent.adopt(update(1, "a", is_snapshot=True))
     assert agent.max_watch_s() == pytest.approx(1.5)
-    away_for(agent, clock, 5.0)
+    outage_of(agent, clock, 5.0)
     agent.adopt(update(2, removed=["a"]))
     assert agent.max_watch_s() == pytest.approx(0.3)
     clock.time += 2.0
     assert agent.max_watch_s() == pytest.approx(0.2)
 
 
-def test_only_changes_move_the_mark(agent):
+def test_change_revision_advances_only_with_changes(agent):
     agent.adopt(update(5, "a", is_snapshot=True))
     agent.adopt(StoreUpdate(revision=9, is_snapshot=False))
     assert (agent.revision, agent.change_revision) == (9, 5)
 
 
-async def test_who_reads_no_more_still_takes_the_missing_to_be_gone(
+async def test_instance_that_stops_reading_still_applies_deferred_removals(
     autojump_clock, nursery
 ):
-    """It kept an upstream that had ended for 4 to 6 s longer than those that read."""
+    """Otherwise it keeps an ended upstream for 4 to 6 s longer than readers do."""
     pools, table = PoolTable(TrioClock()), RoutingTable()
     agent = DiscoveryAgent(DiscoverySettings(), None, decode, table, pools, TrioClock())
     agent.adopt(update(1, "a", "b", is_snapshot=True))
@@ -189,14 +189,14 @@
     )
 
 
-def test_a_zone_is_evacuated_until_its_record_is_removed(agent):
+def test_zone_is_evacuated_until_its_record_is_removed(agent):
     agent.adopt(zones(5, evacuated={"z": 5}))
     assert agent.pools.evacuations.zones() == {"z": 5}
     agent.adopt(zones(6, reopened={"z": 6}))
     assert agent.pools.evacuations.zones() == {}
 
 
-def test_a_whole_read_without_a_record_reopens_its_zone(agent):
+def test_newer_snapshot_without_a_record_reopens_its_zone(agent):
     agent.adopt(zones(5, evacuated={"z": 5}))
     agent.adopt(zones(4, is_snapshot=True))
     assert agent.pools.evacuations.zones() == {"z": 5}
@@ -206,7 +206,7 @@
     assert agent.pools.evacuations.zones() == {}
 
 
-def test_a_record_on_an_unknown_zone_is_refused(agent):
+def test_evacuation_of_an_unknown_zone_is_refused(agent):
     agent.adopt(zones(5, evacuated={"nowhere": 4, "z": 5}))
     assert agent.pools.evacuations.zones() == {"z": 5}
 
@@ -224,18 +224,18 @@
 
 @pytest.fixture
 def cold_agent(agent):
-    """Return an agent that found one upstream when it started."""
+    """Return an agent whose first update contained one upstream."""
     agent.decode = cold_decode
     agent.adopt(update(1, "a", is_snapshot=True, published=b"1"))
     return agent
 
 
-def test_what_an_instance_finds_at_its_start_is_not_assumed_cold(cold_agent):
+def test_upstream_in_the_first_update_is_not_assumed_cold(cold_agent):
     assert cold(cold_agent) == set()
 
 
-def test_an_upstream_that_appears_later_is_assumed_cold(cold_agent, clock):
-    """Its record may not say so yet."""
+def test_upstream_that_appears_later_is_assumed_cold(cold_agent, clock):
+    """Its registration may not say so yet."""
     cold_agent.adopt(update(2, "b"))
     assert cold(cold_agent) == {"b"}
     clock.time += 3.1
--- a/packages/buckthornwall/src/buckthornwall/discovery/updates.py
+++ b/packages/buckthornwall/src/buckthornwall/discovery/updates.py
@@ -1,4 +1,4 @@
-"""Changes as a source tells them."""
+"""Updates of the store, and the protocol of their source."""
 
 from dataclasses import dataclass, field
 from typing import Protocol
@@ -10,19 +10,33 @@
 
 
 class HistoryLost(Exception):
-    """The source no longer holds the changes that were asked for."""
+    """The source no longer holds the requested changes."""
 
 
 @dataclass(slots=True)
 class StoreUpdate:
-    """What changed up to a revision.
-
-    `is_snapshot` tells that everything there is stands here, so that what does not
-    is gone. A watch from `revision` brings what changes later; `change_revision` is the
-    revision of the newest change among these, which is lower where others wrote
-    meanwhile. `published` is the operator's configuration as it was written.
-    `evacuated` and `reopened` give the revisions of records on zones, and
-    `unreadable_zones` those whose records cannot be read, which change nothing.
+    """Changes up to a revision, or a snapshot.
+
+    A snapshot is complete: an upstream or zone record that it does not contain has
+    been removed.
+
+    Attributes
+    ----------
+    revision
+        The revision from which the next watch continues.
+    is_snapshot
+        Whether this is a snapshot.
+    change_revision
+        Revision of the newest change contained here. It is lower than `revision` if
+        other keys were written in the meantime.
+    published
+        The operator's configuration, as it was written.
+    entries, removed
+        Upstreams that are registered, and those that have been removed.
+    evacuated, reopened
+        The revisions of the records of evacuated and of reopened zones.
+    unreadable_zones
+        Zones whose records cannot be decoded; their state does not change.
     """
 
     revision: int
@@ -37,24 +51,24 @@
 
 
 class UpdateSource(Protocol):
-    """A source of news."""
+    """A source of updates."""
 
     async def read_all(self) -> StoreUpdate:
-        """Return everything there is.
+        """Return a snapshot.
 
         Raises
         ------
         PeerError
-            If the source does not answer as it should.
+            If the source does not answer, or not as expected.
         """
 
     async def watch(self, after: int, wait_s: float) -> StoreUpdate:
-        """Return what changed after a revision, waiting for it if need be.
+        """Return the changes after a revision, waiting up to `wait_s` for one.
 
         Raises
         ------
         HistoryLost
-            If those changes are no longer held.
+            If the source no longer holds those changes.
         PeerError
-            If the source does not answer as it should.
+            If the source does not answer, or not as expected.
         """
