--- a/packages/buckthornwall-standins/src/buckthornwall_standins/tests/test_router.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/tests/test_router.py
@@ -302,7 +302,7 @@
     site.store.slow_s = 0.1
     site.nursery.start_soon(site._run_router, 2)
     await site.until(lambda: 2 in site.routers)
-    await site.until(lambda: site.routers[2].callers_listen)
+    await site.until(lambda: site.routers[2].is_listening)
     assert not site.routers[2].table.number
     status, _, body = await site.call("/order/x", 2, request_id="early")
     assert (status, body) == (200, b"answer-to-early")
@@ -316,7 +316,7 @@
     site.store.faults[""] = StoreFault.SILENT
     site.nursery.start_soon(site._run_router, 2)
     await site.until(lambda: 2 in site.routers)
-    await site.until(lambda: site.routers[2].callers_listen)
+    await site.until(lambda: site.routers[2].is_listening)
     before = trio.current_time()
     status, headers, _ = await site.call("/order/x", 2)
     assert status == 503
--- a/packages/buckthornwall/src/buckthornwall/router/core.py
+++ b/packages/buckthornwall/src/buckthornwall/router/core.py
@@ -76,12 +76,12 @@
         self.zone = ZoneId(settings.node.zone)
         self.incarnation = Incarnation(new_id())
         self.state = PeerState.JOINING
-        self.early = EarlyListeners()
+        self.early_listeners = EarlyListeners()
         self.first_config = trio.Event()
-        self.callers_listen = False
+        self.is_listening = False
         self.ready_at = float("-inf")
         self.stopping = trio.Event()
-        self.refusing = False
+        self.refuses_requests = False
 
         self.metrics = RouterMetrics()
         self.table = RoutingTable()
@@ -157,9 +157,9 @@
             await nursery.start(self.operators.run, edge.metrics)
             await nursery.start(self.view_server.run, self.settings.peers.listen)
             await nursery.start(self.peer_agent.run)
-            early = self.early.sockets.pop(edge.listen, None)
-            await nursery.start(self.callers.run, edge.listen, early)
-            self.callers_listen = True
+            early_listener = self.early_listeners.sockets.pop(edge.listen, None)
+            await nursery.start(self.callers.run, edge.listen, early_listener)
+            self.is_listening = True
             nursery.start_soon(self.discovery.run)
             nursery.start_soon(self._housekeeping)
             nursery.start_soon(self.state_sync.run)
@@ -176,14 +176,14 @@
             self.forwarder.budgets.set_instances(fleet.count)
             self.pools.instances = float(fleet.count)
             now = self.clock.now()
-            self._share_limits(fleet, now)
+            self._update_limit_shares(fleet, now)
             self.quarantine.expire(now)
             self.staleness_monitor.check(now)
             if now - logged_at >= SPEED_LOG_INTERVAL_S:
                 logged_at = now
                 self.pools.log_speeds()
 
-    def _share_limits(self, fleet: Digest, now: float) -> None:
+    def _update_limit_shares(self, fleet: Digest, now: float) -> None:
         live = fleet.live(self.settings.peers.listen, self.zone)
         self.fleet_memory.record(live, now)
         self.pools.rate_limits.update_shares(live, self.fleet_memory.recent(live, now))
@@ -220,18 +220,18 @@
         )
 
     def _apply_peer_work(self) -> None:
-        own, now = self._make_beacon(), self.clock.now()
-        work = self.peers.peer_work(own, now)
+        local, now = self._make_beacon(), self.clock.now()
+        work = self.peers.peer_work(local, now)
         for view in self.pools.views.values():
             view.load.peers = work.get(view.id, NO_PEERS)
-        self.pools.receive_unreachable(self.peers.unreachable(own, now))
-        self.pools.rate_limits.receive(self.peers.limits(own, now))
+        self.pools.receive_unreachable(self.peers.unreachable(local, now))
+        self.pools.rate_limits.receive(self.peers.limits(local, now))
 
     def _count_store_call(self, seconds: float, outcome: str) -> None:
         self.metrics.store_call.add({"outcome": outcome}, seconds)
 
     def _update_adopted(self) -> None:
-        self._share_limits(self.fleet(), self.clock.now())
+        self._update_limit_shares(self.fleet(), self.clock.now())
         if self.state is PeerState.JOINING and self.table.number:
             self.state = PeerState.READY
             self.ready_at = self.clock.now()
@@ -259,7 +259,7 @@
         except Refusal as refusal:
             await self.forwarder.refuse_unreadable(answer, refusal)
             return
-        if self.refusing:
+        if self.refuses_requests:
             await self.forwarder.refuse_draining(request, answer)
             return
         if not self.table.number:
--- a/packages/buckthornwall/src/buckthornwall/router/main.py
+++ b/packages/buckthornwall/src/buckthornwall/router/main.py
@@ -22,7 +22,9 @@
 FILE_POLL_S = 2.0
 
 
-def run_router(settings: RouterSettings, path: Path, early: EarlyListeners) -> None:
+def run_router(
+    settings: RouterSettings, path: Path, early_listeners: EarlyListeners
+) -> None:
     """Run an instance until a signal asks it to stop.
 
     Parameters
@@ -31,21 +33,23 @@
         Checked settings.
     path
         The file they came from, read again when it changes.
-    early
+    early_listeners
         Listeners that are open already.
     """
     clock = SuspensionClock()
     clock.on_resume = _log_resumed
-    trio.run(partial(_run, settings, path, early), clock=clock)
+    trio.run(partial(_run, settings, path, early_listeners), clock=clock)
 
 
 def _log_resumed(seconds: float) -> None:
     log_event("resumed", "WARNING", suspended_s=round(seconds, 3))
 
 
-async def _run(settings: RouterSettings, path: Path, early: EarlyListeners) -> None:
+async def _run(
+    settings: RouterSettings, path: Path, early_listeners: EarlyListeners
+) -> None:
     router = Router.from_config(settings)
-    router.early = early
+    router.early_listeners = early_listeners
     with trio.open_signal_receiver(*STOP_SIGNALS, RELOAD_SIGNAL) as signals:
         async with trio.open_nursery() as nursery:
             nursery.start_soon(_handle_signals, signals, router, path)
--- a/packages/buckthornwall/src/buckthornwall/router/stopping.py
+++ b/packages/buckthornwall/src/buckthornwall/router/stopping.py
@@ -33,7 +33,7 @@
     await router.peer_agent.send_reports()
     with trio.move_on_after(stop.notice_s):
         await trio.sleep_forever()
-    router.refusing = True
+    router.refuses_requests = True
     router.callers.close_idle()
     limit = started + stop.grace_s - CUTOFF_MARGIN_S
     while router.callers.active and router.clock.now() < limit:
