--- a/packages/buckthornwall/src/buckthornwall/pools/decision.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/decision.py
@@ -1,7 +1,7 @@
-"""Where a request goes.
+"""Decide which upstream a request is sent to.
 
-Pure: what is known of a pool and the time in, a decision out. Whoever sends requests
-(`buckthornwall.forwarding`) and whoever simulates them asks here.
+A pure function of the state of a pool and the time, shared by the forwarder
+(`buckthornwall.forwarding`) and the simulations.
 """
 
 from buckthornwall.utils import UpstreamId, ZoneId
@@ -31,16 +31,16 @@
     zone: ZoneId,
     now: float,
 ) -> Choice | None:
-    """Return who should take a request, or None without anybody.
+    """Return the upstream for a request, or None if there is none.
 
     Parameters
     ----------
     pools
-        What is known of upstreams.
+        State of all upstreams.
     traits
         The request.
     tried
-        Upstreams that it was offered to already.
+        Upstreams that it was sent to already.
     zone
         The zone of this instance.
     now
@@ -51,7 +51,7 @@
     if traits.prompt is None:
         return choose_service(views, zone, now)
     route = traits.resolution.route
-    # A stream that may not pause stays away from engines in need, if it can.
+    # Rate-limited engines are avoided for pause-sensitive streams, if there are others.
     unlimited = [view for view in views if not view.rate_limit.is_limited(now)] or views
     split = pools.reserved_engines(pool.id).split(
         unlimited, now, route if traits.pause_sensitive else None
@@ -70,7 +70,7 @@
 def _placement_request(
     pools: PoolTable, traits: RequestTraits, split: Split, zone: ZoneId
 ) -> PlacementRequest:
-    """Return how a prompt is to be placed."""
+    """Return the input of placement for a prompt."""
     resolution = traits.resolution
     pool, rank, target_s = resolution.pool, resolution.rank, resolution.route.target_s
     return PlacementRequest(
@@ -92,10 +92,10 @@
 def _should_spread(
     pools: PoolTable, traits: RequestTraits, choice: Choice, now: float
 ) -> bool:
-    """Tell whether a late request is to be compared at all engines.
+    """Return whether a late request is compared at all engines.
 
-    Only what is more urgent than others that were let in: with all that is late spread
-    over all engines, no room was left for what is least urgent.
+    Only if less urgent requests were admitted in its place: with every late request
+    spread over all engines, no capacity is left for the least urgent ones.
     """
     if traits.pause_sensitive:
         return False
@@ -107,7 +107,7 @@
 def _engines_in_time(
     pools: PoolTable, traits: RequestTraits, split: Split, now: float
 ) -> list[UpstreamView]:
-    """Return the engines at which a request is expected to begin in time."""
+    """Return the unreserved engines where the first token is expected in time."""
     target_s = traits.resolution.route.target_s
     return [
         view
--- a/packages/buckthornwall/src/buckthornwall/pools/expectation.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/expectation.py
@@ -1,4 +1,4 @@
-"""How long a request's first token is expected to take."""
+"""Predict the time to the first token of a request."""
 
 from .placement import Choice
 from .table import PoolTable
@@ -9,21 +9,21 @@
 
 
 def expected_s(pools: PoolTable, traits: RequestTraits, choice: Choice) -> float:
-    """Return how long the first token is expected to take, in seconds.
+    """Return the expected time to the first token, in seconds.
 
-    Not less than the oldest request before it has waited: in overload the counts
-    alone let expect a fraction of it.
+    It is at least the wait of the oldest request served before this one, since in
+    overload the count-based estimate is a fraction of the actual wait.
     """
     return max(count_based_s(pools, traits, choice), choice.oldest_wait_s)
 
 
 def count_based_s(pools: PoolTable, traits: RequestTraits, choice: Choice) -> float:
-    """Return the same by the counts alone, in seconds."""
+    """Return the calibrated estimate from counts of pending tokens, in seconds."""
     return choice.wait_s * calibration_factor(pools, traits)
 
 
 def calibration_factor(pools: PoolTable, traits: RequestTraits) -> float:
-    """Return what a wait by the counts is multiplied by for a request."""
+    """Return the factor from a count-based wait to the wait observed lately."""
     resolution = traits.resolution
     return pools.wait_calibration(resolution.pool.id).factor(resolution.rank)
 
@@ -31,7 +31,7 @@
 def expected_on_engine_s(
     pools: PoolTable, traits: RequestTraits, view: UpstreamView, now: float
 ) -> float:
-    """Return how long the first token is expected to take at an engine."""
+    """Return the expected time to the first token on an engine, in seconds."""
     resolution = traits.resolution
     uncached = max(
         0, traits.prompt.prompt_tokens - view.prefixes.cached_tokens(traits.prompt)
--- a/packages/buckthornwall/src/buckthornwall/pools/placement.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/placement.py
@@ -1,4 +1,9 @@
-"""The choice of an upstream for a request: state in, choice out."""
+"""Choose an upstream for a request: a pure function of the known state.
+
+Engines are chosen by power of k choices: the cost of a prompt is compared at the
+first engines of the rendezvous-hash order of its prefix (affinity candidates), at the
+engine that has most of it in its prefix cache, and at a hash sample of the others.
+"""
 
 import math
 from collections.abc import Iterable
@@ -18,58 +23,71 @@
     "choose_service",
 ]
 
-# A missing shared token counts the more often the later its engine stands in
-# the hash order of the part. So what leaves the first home goes to the same
-# second one from every instance, and a hot part spreads no further than it must.
+# An uncached token of a shared prefix costs more the later its engine stands in the
+# rendezvous order of the prefix. Overflow of the first engine then goes to the same
+# second one from every instance, and a hot prefix spreads no further than needed.
 AFFINITY_WEIGHT_STEP = 0.5
 MAX_AFFINITY_WEIGHT = 4.0
-# A prompt is compared at its first homes, and at so many engines besides, by its
-# own draw. Compared at all, every instance would send what leaves its home to the
-# engine that was last told to be idle.
+# Engines compared per prompt. With all engines compared, every instance would send the
+# overflow to the same engine, the one last reported idle (herding).
 AFFINITY_CANDIDATES = 2
 SAMPLED_CANDIDATES = 3
-# A wait that leaves the target in reach is cheap: part of the target for which
-# that holds, and what a token ahead then counts.
+# Delay up to this share of the target leaves the target in reach and is weighted less.
 DISCOUNTED_TARGET_SHARE = 0.4
 DISCOUNTED_WEIGHT = 0.3
-# Each request that runs beside slows every step: as a part of a quiet step.
+# Each running request slows every step by this share of a decode step.
 DECODE_STEPS_PER_RUNNING = 0.15
-# A request that waits for a slot there waits for about so many quiet steps.
+# A request queued for a slot waits for about this many decode steps.
 DECODE_STEPS_PER_QUEUED = 7.5
-# An engine whose memory is taken up to this part preempts requests, urgent ones too
-# where all that run are urgent; a new one then counts for so many seconds more, about
-# the reading of one long prompt again. Parts that prompts share are counted for each,
-# so the part may be the whole.
+# An engine that uses more than this share of its memory preempts requests, urgent ones
+# too if only urgent ones run. The penalty is about one long prompt prefilled again.
+# Shared prefixes are counted once per request, so the share may be 1.
 MAX_MEMORY_SHARE = 1.0
 MEMORY_FULL_PENALTY_S = 0.4
-# What is read later than this request counts for those behind it.
+# Weight of pending prefill that runs after this prompt and is delayed by it.
 LATER_PREFILL_WEIGHT = 0.2
-# Fewer missing tokens are read as quickly as they are copied.
+# Fewer tokens are prefilled as quickly as they are copied from another engine.
 MIN_COPIED_TOKENS = 500
-# The way to another zone and back, in seconds.
 CROSS_ZONE_RTT_S = 0.0012
-# An engine that is still warming up: part of the seconds left.
+# Cost of an engine in its cold start, per second that is left of it.
 COLD_START_WEIGHT = 0.08
-# A prompt that would stretch the pauses of pause-sensitive streams too far counts, for
-# each of them, as a wait of this part of its own target: little where few are there,
-# more than any wait where many are. Shut to all prompts that harm at all, reserved
-# engines would stand half idle in small pools.
+# Cost of a prompt whose prefill would break the pause limit of pause-sensitive streams:
+# this share of its own target for each of them, so little where there are few and more
+# than any delay where there are many. If such prompts were excluded from reserved
+# engines, these would be half idle in small pools.
 PAUSE_PENALTY_TARGET_SHARE = 0.3
-# Another zone, and warming up, at a plain service: as shares of its slots.
+# Cost of another zone, and of a cold start, at a plain service: shares of its slots.
 SERVICE_CROSS_ZONE_PENALTY = 0.1
 SERVICE_COLD_PENALTY = 1.0
 
 
 @dataclass(frozen=True, slots=True)
 class PlacementRequest:
-    """A prompt that is to be placed.
-
-    `rank` is its place in the order of urgency, `zone` that of this instance, and
-    `discounted_wait_s` a wait that leaves its target of `target_s` well in reach; times
-    are in seconds. `sampling_key` draws the engines that it is compared at besides its
-    homes. `model` tells how quickly the pool's engines read and generate, and
-    `reserved` which of them hold streams whose events of `tokens_per_event` tokens may
-    not wait for `max_pause_s`.
+    """A prompt to place.
+
+    Attributes
+    ----------
+    prompt : PromptShape
+        The prompt.
+    rank : int
+        Its urgency, 0 the most urgent.
+    zone : ZoneId
+        Zone of this instance.
+    discounted_wait_s : float
+        Delay up to which the target stays well in reach, in seconds.
+    target_s : float
+        Target of the time to first token, in seconds.
+    sampling_key : str
+        Key of the hash sample of engines that are compared besides the affinity
+        candidates.
+    model : EngineModel
+        Speed of the pool's engines in prefill and decode.
+    reserved : frozenset
+        Engines reserved for pause-sensitive streams.
+    tokens_per_event : int
+        Tokens in one event of such streams.
+    max_pause_s : float
+        Longest pause between events that such streams allow, in seconds.
     """
 
     prompt: PromptShape
@@ -86,14 +104,28 @@
 
 @dataclass(frozen=True, slots=True)
 class Choice:
-    """An upstream, and what is expected there.
-
-    `uncached_tokens` is what it has to read of the prompt; `wait_s` the time
-    until the first token by the counts alone, of which `own_prefill_s` is its own
-    reading; `oldest_wait_s` how long the oldest request that goes before it has waited
-    already. `copy_from` is the address of an engine that is likely to hold more of
-    the prompt, or ''. `is_prefill_idle` tells that no other prompt is known to wait
-    there, and `pause_s` is the longest pause that is expected beside what is.
+    """An upstream, and the predictions for the request there.
+
+    Attributes
+    ----------
+    view : UpstreamView
+        The upstream.
+    uncached_tokens : int
+        Tokens of the prompt that it has to prefill.
+    wait_s : float
+        Seconds until the first token, by counts of pending tokens alone.
+    own_prefill_s : float
+        Part of `wait_s` that is the prefill of this prompt.
+    slot_utilization : float
+        Requests in flight per slot.
+    oldest_wait_s : float
+        Seconds that the oldest request served before this one has waited.
+    copy_from : str
+        Address of an engine that probably has more of the prompt cached, or ''.
+    is_prefill_idle : bool
+        Whether no other prompt is known to wait for prefill there.
+    pause_s : float
+        Longest pause between events expected beside the pending prefill, in seconds.
     """
 
     view: UpstreamView
@@ -109,7 +141,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Candidate:
-    """One engine's cost for a prompt, in seconds."""
+    """An engine, and its cost for a prompt in seconds."""
 
     cost: float
     view: UpstreamView
@@ -122,22 +154,23 @@
     now: float,
     copy_sources: list[UpstreamView] | None = None,
 ) -> Choice | None:
-    """Return the engine with the least work for a prompt, or None without any.
+    """Return the engine with the lowest cost for a prompt, or None without engines.
 
-    Each shared part has a home, the same on every instance without a message, so
-    that one engine reads it and the others need not. Besides its homes a prompt
-    is compared at the engine that holds most of it, and at a few of its own draw.
+    The rendezvous order of a shared prefix is the same on every instance without any
+    message, so that one engine prefills the prefix and the others need not. Besides
+    the first engines of that order the prompt is compared at the engine that has most
+    of it cached, and at a sample of the others.
 
     Parameters
     ----------
     views
-        Engines that may take it.
-    wanted
-        What is to be placed.
+        Engines that may serve it.
+    request
+        The prompt and its limits.
     now
         The time in seconds.
-    holders
-        Engines that parts may be copied from, where others than those.
+    copy_sources
+        Engines that cached segments may be copied from, if not `views`.
     """
     if not views:
         return None
@@ -176,14 +209,14 @@
 
 
 def _best_cached(views: list[UpstreamView], prompt: PromptShape) -> UpstreamView:
-    """Return the engine that is likely to hold most of a prompt."""
+    """Return the engine that probably has most of a prompt cached."""
     return max(views, key=lambda view: view.prefixes.cached_tokens(prompt))
 
 
 def _affinity_order(
     by_id: Iterable[UpstreamId], request: PlacementRequest
 ) -> list[UpstreamId]:
-    """Return the engines in the order of homes of a prompt, reserved ones last."""
+    """Return engines in the rendezvous order of the prefix, reserved ones last."""
     order = rendezvous_order(request.prompt.affinity_key, by_id)
     return sorted(order, key=lambda name: name in request.reserved)
 
@@ -191,7 +224,7 @@
 def _copy_from(
     chosen: UpstreamView, best_cached: UpstreamView, prompt: PromptShape
 ) -> str:
-    """Return where the engine chosen may copy shared parts from, or ''."""
+    """Return the address to copy cached segments from, or '' if few are missing."""
     missing = best_cached.prefixes.cached_tokens(
         prompt
     ) - chosen.prefixes.cached_tokens(prompt)
@@ -201,7 +234,7 @@
 def _candidates(
     affinity_order: list[str], best_cached: str, sampling_key: str
 ) -> list[tuple[int, str]]:
-    """Return the engines to compare, each with its place in the order of homes."""
+    """Return the engines to compare, each with its position in the affinity order."""
     sampled = rendezvous_order(sampling_key, affinity_order[AFFINITY_CANDIDATES:])[
         :SAMPLED_CANDIDATES
     ]
@@ -237,7 +270,7 @@
 def _pause_penalty_s(
     view: UpstreamView, request: PlacementRequest, uncached: int
 ) -> float:
-    """Return what a prompt does to pause-sensitive streams of an engine, in seconds."""
+    """Return the cost of longer pauses of an engine's streams, in seconds."""
     pending_prefill = view.load.total_pending_prefill() + uncached
     pause_s = request.model.pause_s(request.tokens_per_event, pending_prefill)
     if pause_s <= SAFE_PAUSE_SHARE * request.max_pause_s:
@@ -247,13 +280,13 @@
 
 
 def _is_full(view: UpstreamView, prompt: PromptShape) -> bool:
-    """Tell whether an engine has no memory left for a prompt."""
+    """Return whether an engine has no memory left for a prompt."""
     needed = view.load.total_memory_tokens() + prompt.memory_tokens
     return needed > MAX_MEMORY_SHARE * view.prefixes.memory_tokens
 
 
 def _delay_s(view: UpstreamView, request: PlacementRequest, now: float) -> float:
-    """Return the work at an engine before a prompt, in seconds."""
+    """Return the expected delay of a prompt before its own prefill, in seconds."""
     in_flight = view.load.in_flight(now)
     queued = max(0, in_flight - view.entry.slots)
     earlier = view.load.pending_prefill_before(request.rank)
@@ -271,7 +304,7 @@
 def choose_service(
     views: list[UpstreamView], zone: ZoneId, now: float
 ) -> Choice | None:
-    """Return the upstream with the least share of its slots in use, or None."""
+    """Return the upstream with the lowest slot utilization, or None without any."""
     if not views:
         return None
 
