--- a/packages/buckthornwall/src/buckthornwall/peers/agent.py
+++ b/packages/buckthornwall/src/buckthornwall/peers/agent.py
@@ -201,7 +201,7 @@
         members = self.table.member_addresses(now)
         await self._send_due_report(self.member_recipients, local_beacon, members, now)
         self.table.prefixes.set_interval(
-            self.member_recipients.pacing.max_counts_age_s(now)
+            self.member_recipients.pacing.load_interval_s(now)
         )
 
     async def _send_due_report(
@@ -264,12 +264,12 @@
                 for address in gone:
                     log_event("peer_lost", "WARNING", peer=address)
             await self.send_reports()
-            turn_ms = (
+            interval_ms = (
                 self.settings.digest_ms
                 if self._was_speaker
                 else self.settings.beacon_ms
             )
-            await trio.sleep(turn_ms / MS_PER_S)
+            await trio.sleep(interval_ms / MS_PER_S)
 
     async def _send(self, data: bytes, address: str) -> None:
         host, _, port = address.rpartition(":")
--- a/packages/buckthornwall/src/buckthornwall/peers/crash_exchange.py
+++ b/packages/buckthornwall/src/buckthornwall/peers/crash_exchange.py
@@ -78,25 +78,25 @@
             self._delay_resyncs(now)
             return [(address, changed) for address in addresses]
         self._pending = {
-            address: sync
-            for address, sync in self._pending.items()
+            address: resync
+            for address, resync in self._pending.items()
             if address in addresses
         }
         messages = []
-        for address, sync in self._pending.items():
-            if now >= sync.due_at:
-                self._back_off(sync, now)
-                messages += [(address, part) for part in self._batches(now)]
+        for address, resync in self._pending.items():
+            if now >= resync.due_at:
+                self._back_off(resync, now)
+                messages += [(address, batch) for batch in self._batches(now)]
         return messages
 
     def _delay_resyncs(self, now: float) -> None:
         """Let a change reach the others before their checksums count."""
-        for sync in self._pending.values():
-            sync.due_at = max(sync.due_at, now + PROPAGATION_S)
+        for resync in self._pending.values():
+            resync.due_at = max(resync.due_at, now + PROPAGATION_S)
 
-    def _back_off(self, sync: _PendingResync, now: float) -> None:
-        sync.due_at = now + sync.interval_s
-        sync.interval_s = min(MAX_RESYNC_INTERVAL_S, 2 * sync.interval_s)
+    def _back_off(self, resync: _PendingResync, now: float) -> None:
+        resync.due_at = now + resync.interval_s
+        resync.interval_s = min(MAX_RESYNC_INTERVAL_S, 2 * resync.interval_s)
 
     def _batches(self, now: float) -> list[list[CrashReport]]:
         reports = self.table.reports(now)
--- a/packages/buckthornwall/src/buckthornwall/peers/freshness.py
+++ b/packages/buckthornwall/src/buckthornwall/peers/freshness.py
@@ -8,12 +8,17 @@
 MS_PER_S = 1000.0
 
 
-def merge_newer_revision(known: Digest | Heartbeat, newer: Digest | Heartbeat) -> None:
-    """Put what is newest, and who has it, into what is known."""
-    if (newer.number, newer.change_revision) > (known.number, known.change_revision):
-        known.number = newer.number
-        known.change_revision = newer.change_revision
-        known.freshest_peer = newer.freshest_peer
+def merge_newer_revision(
+    target: Digest | Heartbeat, source: Digest | Heartbeat
+) -> None:
+    """Put what is newest, and who has it, into what is target."""
+    if (source.number, source.change_revision) > (
+        target.number,
+        target.change_revision,
+    ):
+        target.number = source.number
+        target.change_revision = source.change_revision
+        target.freshest_peer = source.freshest_peer
 
 
 def merge_read_age(heartbeat: Heartbeat, received: ReceivedMessage, now: float) -> None:
--- a/packages/buckthornwall/src/buckthornwall/peers/pacing.py
+++ b/packages/buckthornwall/src/buckthornwall/peers/pacing.py
@@ -53,12 +53,12 @@
 
     def due(self, now: float) -> ReportKind | None:
         """Return what is to be told at this turn, or None for nothing."""
-        soon = now + self.interval_s / 2  # timers are late by a little
-        if soon - self._sent_at[ReportKind.DIGEST] >= self.digest_interval_s(now):
+        due_by = now + self.interval_s / 2  # timers are late by a little
+        if due_by - self._sent_at[ReportKind.DIGEST] >= self.digest_interval_s(now):
             return ReportKind.DIGEST
-        if soon - self._last_sent_at(ReportKind.COUNTS) >= self.counts_interval_s:
+        if due_by - self._last_sent_at(ReportKind.COUNTS) >= self.counts_interval_s:
             return ReportKind.COUNTS
-        if soon - self._last_sent_at(ReportKind.HEARTBEAT) >= self.heartbeat_s:
+        if due_by - self._last_sent_at(ReportKind.HEARTBEAT) >= self.heartbeat_s:
             return ReportKind.HEARTBEAT
         return None
 
@@ -88,6 +88,6 @@
         rate = self.bytes_per_s * (1 - DIGEST_SHARE)
         return max(self.interval_s, self._sizes[ReportKind.COUNTS] / rate)
 
-    def max_counts_age_s(self, now: float) -> float:
+    def load_interval_s(self, now: float) -> float:
         """Return the time between two words that hold counts, of either kind."""
         return min(self.digest_interval_s(now), self.counts_interval_s)
--- a/packages/buckthornwall/src/buckthornwall/peers/packing.py
+++ b/packages/buckthornwall/src/buckthornwall/peers/packing.py
@@ -1,8 +1,8 @@
-"""Counts of work and parts of prompts in few bytes, for word that is told often.
+"""Counts of work and prefixes of prompts in few bytes, for word that is told often.
 
 A speaker's whole digest of 59 engines and 33 members takes 4.7 KB; at 5 KB/s for each
 member that is one a second, and word that passes two speakers was a second old at the
-median. Here upstreams are named by their places in a list that the last digest gave,
+median. Here upstreams are named by their indexes in a list that the last digest gave,
 counts stand in columns, and units are as coarse as decisions allow.
 """
 
@@ -27,7 +27,7 @@
 PENDING_PREFILL_UNIT_TOKENS = 32
 MEMORY_UNIT_TOKENS = 256
 WAIT_UNIT_MS = 20
-PART_UNIT_TOKENS = 32
+PREFIX_UNIT_TOKENS = 32
 MAX_UINT8 = 0xFF
 MAX_UINT16 = 0xFFFF
 # Ids of so many hexadecimal digits take four bytes.
@@ -35,17 +35,17 @@
 HEX_DIGITS = frozenset("0123456789abcdef")
 
 
-def pack_loads(loads: dict[UpstreamId, Work], names: list[UpstreamId]) -> bytes:
+def pack_loads(loads: dict[UpstreamId, Work], upstreams: list[UpstreamId]) -> bytes:
     """Return the work at the upstreams of a list, in its order.
 
     Parameters
     ----------
     loads
         Work by upstream; those that the list does not name are left out.
-    names
+    upstreams
         The list, as whoever reads this has it.
     """
-    works = [loads.get(name, NO_WORK) for name in names]
+    works = [loads.get(upstream, NO_WORK) for upstream in upstreams]
     ranks = sorted(
         {
             rank
@@ -55,7 +55,7 @@
     )
     ranks = [rank for rank in ranks if 0 <= rank <= MAX_UINT8]
     packed = [
-        struct.pack("<HB", len(names), len(ranks)),
+        struct.pack("<HB", len(upstreams), len(ranks)),
         bytes(ranks),
         _uint16s(work.requests for work in works),
         _uint8s(work.pause_sensitive for work in works),
@@ -73,7 +73,7 @@
     return b"".join(packed)
 
 
-def unpack_loads(data: bytes, names: list[UpstreamId]) -> dict[UpstreamId, Work]:
+def unpack_loads(data: bytes, upstreams: list[UpstreamId]) -> dict[UpstreamId, Work]:
     """Return the work at upstreams that have any.
 
     Raises
@@ -83,7 +83,7 @@
     """
     reader = _Reader(data)
     count, rank_count = reader.take("<HB")
-    if count != len(names):
+    if count != len(upstreams):
         raise PeerError(ResultCode.PEER_MESSAGE, "counts for another list")
     ranks = reader.take(f"<{rank_count}B")
     requests = reader.take(f"<{count}H")
@@ -94,70 +94,70 @@
     ]
     reader.end()
     loads = {}
-    for place, name in enumerate(names):
+    for index, upstream in enumerate(upstreams):
         pending_prefill = {
-            rank: tokens[place] * PENDING_PREFILL_UNIT_TOKENS
+            rank: tokens[index] * PENDING_PREFILL_UNIT_TOKENS
             for rank, tokens, _ in columns
-            if tokens[place]
+            if tokens[index]
         }
-        if not requests[place] and not pending_prefill:
+        if not requests[index] and not pending_prefill:
             continue
         oldest_wait_ms = {
-            rank: waits[place] * WAIT_UNIT_MS
+            rank: waits[index] * WAIT_UNIT_MS
             for rank, _, waits in columns
-            if waits[place]
+            if waits[index]
         }
-        loads[name] = Work(
-            requests[place],
+        loads[upstream] = Work(
+            requests[index],
             pending_prefill,
-            pause_sensitive[place],
+            pause_sensitive[index],
             oldest_wait_ms,
-            memory[place] * MEMORY_UNIT_TOKENS,
+            memory[index] * MEMORY_UNIT_TOKENS,
         )
     return loads
 
 
 def pack_cached_prefixes(
-    cached_prefixes: CachedPrefixes, names: list[UpstreamId]
+    cached_prefixes: CachedPrefixes, upstreams: list[UpstreamId]
 ) -> tuple[bytes, CachedPrefixes]:
-    """Return parts by the places of their engines, and those that do not fit so."""
-    places = {name: place for place, name in enumerate(names)}
+    """Return prefixes by the indexes of their engines, and those that do not fit so."""
+    indexes = {upstream: index for index, upstream in enumerate(upstreams)}
     rows, others = [], {}
-    for upstream, parts in cached_prefixes.items():
-        for part, tokens in parts:
-            if upstream in places and _is_short_hex(part):
-                units = min(MAX_UINT16, _units(tokens, PART_UNIT_TOKENS))
-                rows.append((places[upstream], int(part, 16), units))
+    for upstream, prefixes in cached_prefixes.items():
+        for prefix, tokens in prefixes:
+            if upstream in indexes and _is_short_hex(prefix):
+                units = min(MAX_UINT16, _units(tokens, PREFIX_UNIT_TOKENS))
+                rows.append((indexes[upstream], int(prefix, 16), units))
             else:
-                others.setdefault(upstream, []).append((part, tokens))
+                others.setdefault(upstream, []).append((prefix, tokens))
     columns = list(zip(*rows, strict=True)) or [(), (), ()]
     packed = [struct.pack("<H", len(rows))]
-    for column, form in zip(columns, "HIH", strict=True):
-        packed.append(struct.pack(f"<{len(rows)}{form}", *column))
+    for column, fmt in zip(columns, "HIH", strict=True):
+        packed.append(struct.pack(f"<{len(rows)}{fmt}", *column))
     return b"".join(packed), others
 
 
-def unpack_cached_prefixes(data: bytes, names: list[UpstreamId]) -> CachedPrefixes:
-    """Return parts by engine.
+def unpack_cached_prefixes(data: bytes, upstreams: list[UpstreamId]) -> CachedPrefixes:
+    """Return prefixes by engine.
 
     Raises
     ------
     PeerError
-        PEER_MESSAGE if `data` does not hold parts at engines of this list.
+        PEER_MESSAGE if `data` does not hold prefixes at engines of this list.
     """
     reader = _Reader(data)
     (count,) = reader.take("<H")
-    places = reader.take(f"<{count}H")
-    parts = reader.take(f"<{count}I")
+    indexes = reader.take(f"<{count}H")
+    prefixes = reader.take(f"<{count}I")
     units = reader.take(f"<{count}H")
     reader.end()
     cached_prefixes: CachedPrefixes = {}
-    for place, part, size in zip(places, parts, units, strict=True):
-        if place >= len(names):
-            raise PeerError(ResultCode.PEER_MESSAGE, "parts for another list")
-        name = f"{part:0{HEX_ID_DIGITS}x}"
-        cached_prefixes.setdefault(names[place], []).append(
-            (name, size * PART_UNIT_TOKENS)
+    for index, prefix, size in zip(indexes, prefixes, units, strict=True):
+        if index >= len(upstreams):
+            raise PeerError(ResultCode.PEER_MESSAGE, "prefixes for another list")
+        name = f"{prefix:0{HEX_ID_DIGITS}x}"
+        cached_prefixes.setdefault(upstreams[index], []).append(
+            (name, size * PREFIX_UNIT_TOKENS)
         )
     return cached_prefixes
 
@@ -167,20 +167,20 @@
 
     def __init__(self, data: bytes) -> None:
         self.data = data
-        self.at = 0
+        self.offset = 0
 
-    def take(self, form: str) -> tuple[int, ...]:
+    def take(self, fmt: str) -> tuple[int, ...]:
         """Return the next values."""
         try:
-            values = struct.unpack_from(form, self.data, self.at)
+            values = struct.unpack_from(fmt, self.data, self.offset)
         except struct.error as error:
             raise PeerError(ResultCode.PEER_MESSAGE, str(error)) from error
-        self.at += struct.calcsize(form)
+        self.offset += struct.calcsize(fmt)
         return values
 
     def end(self) -> None:
         """Check that nothing is left."""
-        if self.at != len(self.data):
+        if self.offset != len(self.data):
             raise PeerError(ResultCode.PEER_MESSAGE, "bytes behind the counts")
 
 
@@ -201,5 +201,5 @@
     return bytes(min(MAX_UINT8, value) for value in values)
 
 
-def _is_short_hex(part: str) -> bool:
-    return len(part) == HEX_ID_DIGITS and HEX_DIGITS.issuperset(part)
+def _is_short_hex(prefix: str) -> bool:
+    return len(prefix) == HEX_ID_DIGITS and HEX_DIGITS.issuperset(prefix)
--- a/packages/buckthornwall/src/buckthornwall/peers/work.py
+++ b/packages/buckthornwall/src/buckthornwall/peers/work.py
@@ -30,27 +30,27 @@
     )
 
 
-def add_work(total: dict[UpstreamId, Work], part: dict[UpstreamId, Work]) -> None:
-    """Add the work of a part to a total."""
-    for upstream, work in part.items():
-        before = total.get(upstream, NO_WORK)
-        pending_prefill = dict(before.pending_prefill)
+def add_work(total: dict[UpstreamId, Work], added: dict[UpstreamId, Work]) -> None:
+    """Add the work of a added to a total."""
+    for upstream, work in added.items():
+        previous = total.get(upstream, NO_WORK)
+        pending_prefill = dict(previous.pending_prefill)
         for rank, tokens in work.pending_prefill.items():
             pending_prefill[rank] = pending_prefill.get(rank, 0) + tokens
-        oldest_wait_ms = dict(before.oldest_wait_ms)
+        oldest_wait_ms = dict(previous.oldest_wait_ms)
         for rank, age in work.oldest_wait_ms.items():
             oldest_wait_ms[rank] = max(age, oldest_wait_ms.get(rank, 0))
         total[upstream] = Work(
-            before.requests + work.requests,
+            previous.requests + work.requests,
             pending_prefill,
-            before.pause_sensitive + work.pause_sensitive,
+            previous.pause_sensitive + work.pause_sensitive,
             oldest_wait_ms,
-            before.memory + work.memory,
+            previous.memory + work.memory,
         )
 
 
 def subtract_local(work: Work, local: Work) -> PeerLoad:
-    """Return a sum without this instance's part of it.
+    """Return a sum without this instance's added of it.
 
     The oldest of all stays the oldest, whoever sent it.
     """
