--- a/packages/buckthornwall/src/buckthornwall/peers/aggregation.py
+++ b/packages/buckthornwall/src/buckthornwall/peers/aggregation.py
@@ -1,4 +1,4 @@
-"""What several instances tell, put together."""
+"""Aggregates of what several peers report."""
 
 from collections.abc import Iterable
 
@@ -20,7 +20,7 @@
 def sum_loads(
     beacons: Iterable[Beacon], remote: Iterable[ReceivedMessage]
 ) -> dict[UpstreamId, Work]:
-    """Return the work of instances, and of zones whose speakers told theirs."""
+    """Return the summed work of a zone's beacons and of remote zones' digests."""
     loads: dict[UpstreamId, Work] = {}
     for beacon in beacons:
         add_work(loads, beacon.loads)
@@ -32,7 +32,7 @@
 def sum_unreachable(
     beacons: Iterable[Beacon], remote: Iterable[ReceivedMessage]
 ) -> Unreachable:
-    """Return how many instances cannot reach an upstream."""
+    """Return by upstream the number of instances that cannot reach it."""
     total: Unreachable = {}
     for beacon in beacons:
         add_unreachable(total, dict.fromkeys(beacon.unreachable, 1))
@@ -44,6 +44,6 @@
 def merge_limits(
     local_beacon: Beacon, received: Iterable[ReceivedMessage], now: float
 ) -> LimitReports:
-    """Return the newest report on each upstream that names a limit."""
+    """Return the newest report of each upstream's rate limit."""
     reports = [(each.message.limits, now - each.sent_at) for each in received]
     return merge_limit_reports([(local_beacon.limits, 0.0), *reports])
--- a/packages/buckthornwall/src/buckthornwall/peers/counts.py
+++ b/packages/buckthornwall/src/buckthornwall/peers/counts.py
@@ -1,4 +1,4 @@
-"""Counts in heartbeats: who tells them names upstreams as its last digest did."""
+"""Packed loads in heartbeats, in the order of upstreams in the last digest."""
 
 import random
 
@@ -17,10 +17,11 @@
 
 
 class CountsWriter:
-    """The last digests that an instance told, by whether they are over the fleet.
+    """Adds packed loads to heartbeats, by the last digests that were sent.
 
-    Their numbers go on from a draw: a process that starts again under its address must
-    not be taken for the one before.
+    The digests of the zone and those of the fleet are kept apart. Sequence numbers
+    start at random, so that a restarted process is not taken for its predecessor at
+    the same address.
     """
 
     def __init__(self) -> None:
@@ -28,7 +29,7 @@
         self._upstreams: dict[bool, tuple[int, list[UpstreamId]]] = {}
 
     def assign_sequence(self, digest: Digest) -> None:
-        """Give a digest its number, so that counts may name its upstreams."""
+        """Number a digest, so that heartbeats can refer to its order of upstreams."""
         self._sequence += 1
         digest.sequence = self._sequence
         self._upstreams[digest.is_fleet] = (self._sequence, list(digest.loads))
@@ -39,7 +40,7 @@
         loads: dict[UpstreamId, Work],
         cached_prefixes: CachedPrefixes,
     ) -> None:
-        """Put work and parts into a heartbeat, after a digest that was numbered."""
+        """Add loads and cached prefixes to a heartbeat, after a numbered digest."""
         heartbeat.sequence, upstreams = self._upstreams[heartbeat.is_fleet]
         heartbeat.packed_work = pack_loads(loads, upstreams)
         heartbeat.loads = {
@@ -53,24 +54,24 @@
 def read_counts(
     heartbeat: Heartbeat, digest: Digest, upstreams: list[UpstreamId]
 ) -> tuple[dict[UpstreamId, Work], CachedPrefixes] | None:
-    """Return the work and the parts that a heartbeat tells.
+    """Return the loads and the cached prefixes of a heartbeat.
 
     Parameters
     ----------
     heartbeat
-        What its sender told after a digest.
+        A heartbeat of the digest's sender.
     digest, upstreams
-        The digest of it that is known here, and its upstreams in order.
+        The last digest received from it, and the order of its upstreams.
 
     Returns
     -------
     tuple or None
-        None if it tells none, or names them by another digest.
+        None if the heartbeat has no loads, or refers to another digest.
 
     Raises
     ------
     PeerError
-        PEER_MESSAGE if its counts are none.
+        PEER_MESSAGE if the packed fields are malformed.
     """
     if not heartbeat.sequence or heartbeat.sequence != digest.sequence:
         return None
--- a/packages/buckthornwall/src/buckthornwall/peers/freshness.py
+++ b/packages/buckthornwall/src/buckthornwall/peers/freshness.py
@@ -1,4 +1,4 @@
-"""What is newest of two words, and how long ago the store was read."""
+"""Merges of the newest revision and of the age of the last read of the store."""
 
 from .messages import Digest, Heartbeat
 from .received_message import ReceivedMessage
@@ -11,7 +11,7 @@
 def merge_newer_revision(
     target: Digest | Heartbeat, source: Digest | Heartbeat
 ) -> None:
-    """Put what is newest, and who has it, into what is target."""
+    """Copy a newer revision, and the peer that has it, into `target`."""
     if (source.number, source.change_revision) > (
         target.number,
         target.change_revision,
@@ -22,6 +22,6 @@
 
 
 def merge_read_age(heartbeat: Heartbeat, received: ReceivedMessage, now: float) -> None:
-    """Let a reading of the store count that another instance told of."""
+    """Lower the read age to that of another instance, aged since it was sent."""
     age_ms = received.message.read_age_ms + int((now - received.sent_at) * MS_PER_S)
     heartbeat.read_age_ms = min(heartbeat.read_age_ms, age_ms)
--- a/packages/buckthornwall/src/buckthornwall/peers/messages.py
+++ b/packages/buckthornwall/src/buckthornwall/peers/messages.py
@@ -1,6 +1,6 @@
-"""What instances tell each other, in CBOR.
+"""Messages between instances, encoded in CBOR.
 
-All are arrays on the wire: their names would be more than half of the bytes.
+All are arrays on the wire: field names would take more than half of the bytes.
 """
 
 import zlib
@@ -33,23 +33,31 @@
     "encode",
 ]
 
-# Shorter messages get no shorter.
+# Compression does not shorten smaller messages.
 MIN_COMPRESSED_BYTES = 200
-# A compressed message begins with this byte, which no array in CBOR does.
+# First byte of zlib data; no CBOR array begins with it.
 ZLIB_FIRST_BYTE = b"\x78"
-# No view is longer, in bytes, and no datagram: a view holds a whole configuration, and
-# instances have 128 MB in all. A datagram of 64 KB may stand for a thousand times that.
+# Limits of decompressed data, in bytes. A view holds a complete configuration,
+# instances have 128 MB of memory, and a datagram of 64 KB may expand a thousandfold.
 MAX_VIEW_BYTES = 16 * 2**20
 MAX_DATAGRAM_BYTES = 2**20
 
 
 class Work(msgspec.Struct, array_like=True, frozen=True):
-    """What instances have sent to one upstream and not yet got back.
-
-    `requests` are in flight, `pending_prefill` are prompt tokens yet to be prefilled,
-    by rank, `pause_sensitive` counts the requests that are streams whose pauses must be
-    short, and `oldest_wait_ms` tells by rank how long the oldest has waited for its
-    first token. `memory` counts the tokens that they take in the engine's memory.
+    """Outstanding work of one or more instances at one upstream.
+
+    Attributes
+    ----------
+    requests
+        Requests in flight.
+    pending_prefill
+        By rank, prompt tokens that are not prefilled yet.
+    pause_sensitive
+        Requests among them that are streams whose pauses must be short.
+    oldest_wait_ms
+        By rank, how long the oldest request has waited for its first token.
+    memory
+        Tokens that the requests take in the engine's memory.
     """
 
     requests: int = 0
@@ -60,7 +68,7 @@
 
 
 class PeerState(Enum):
-    """What an instance says of itself."""
+    """Life-cycle state that an instance reports."""
 
     JOINING = 0
     READY = 1
@@ -68,17 +76,32 @@
 
 
 class Beacon(msgspec.Struct, array_like=True, tag="b"):
-    """What an instance tells the speaker of its zone.
-
-    `weight` is how much it can carry for others. `number` is that of the
-    configuration in force, `change_revision` the revision of the newest change, and
-    `read_age_ms` how long ago the store last answered here, `store_uptime_ms` for how
-    long it has done so without an outage. `loads` names upstreams with work from
-    this instance, `cached_prefixes` the shared parts of prompts that it has lately sent
-    to each, `unreachable` upstreams that it could lately not reach. `requests_speaker`
-    asks for an answer: the sender does not know its zone's speaker. `crash_checksum`
-    is that of what it knows of requests that crash upstreams. `limits` holds the rate
-    limits that upstreams reported to the sender, in requests a second.
+    """Report of an instance to the speaker of its zone.
+
+    Attributes
+    ----------
+    weight
+        Capacity of the instance for relaying.
+    number
+        Number of the configuration in force.
+    change_revision
+        Revision of the newest change.
+    read_age_ms
+        Time since the store last answered this instance.
+    store_uptime_ms
+        Time for which the store has answered this instance without an outage.
+    loads
+        Outstanding work of this instance by upstream.
+    requests_speaker
+        Whether this is a lookup: the sender does not know its zone's speaker.
+    cached_prefixes
+        Shared prompt prefixes that were recently sent to each upstream.
+    unreachable
+        Upstreams that could not be reached recently.
+    crash_checksum
+        Checksum of the known requests that crash upstreams.
+    limits
+        Rate limits that upstreams reported to the sender, in requests a second.
     """
 
     node: NodeId
@@ -100,20 +123,40 @@
 
 
 class Digest(msgspec.Struct, array_like=True, tag="d"):
-    """What a speaker tells: its members all of it, other speakers its own zone.
-
-    `count` is the number of instances that serve, and `loads` the sum of their
-    work: over the fleet if `is_fleet`, else over the zone; `cached_prefixes` are the
-    shared parts of prompts that they have lately sent to each upstream. `members` gives
-    the weight of each, `speakers` the speaker's address of each zone. `freshest_peer`
-    is the address of the instance with the highest `number` and `change_revision`, and
-    `read_age_ms` how long ago the store last answered any of them, and
-    `store_uptime_ms` the longest time for which it has answered one of them without an
-    outage. `age_ms` is 0 unless another instance passes the digest on. Heartbeats
-    that name upstreams by their places in `loads` give its `sequence`; 0 is named by
-    none. `unreachable` tells how many of the instances could lately not reach an
-    upstream, `crash_checksum` is the speaker's own, and `limits` the newest word on
-    each upstream.
+    """Aggregate of a speaker: of the fleet for its members, of its zone for speakers.
+
+    Attributes
+    ----------
+    is_fleet
+        Whether the aggregate covers the fleet, not only the sender's zone.
+    count
+        Number of instances that serve.
+    members
+        Weights of the zone's instances by address.
+    speakers
+        Addresses of the speakers by zone.
+    number, change_revision
+        The highest of any instance.
+    freshest_peer
+        Address of the instance with these; '' if the digest is only a pointer.
+    read_age_ms
+        Time since the store last answered any of the instances.
+    store_uptime_ms
+        Longest time for which the store has answered one of them without an outage.
+    loads
+        Summed outstanding work by upstream.
+    cached_prefixes
+        Shared prompt prefixes that were recently sent to each upstream.
+    age_ms
+        Age of a digest that another instance relays, else 0.
+    sequence
+        Number by which heartbeats refer to the order of `loads`; 0 if none does.
+    unreachable
+        By upstream, the number of instances that could not reach it recently.
+    crash_checksum
+        The speaker's own.
+    limits
+        Newest report of each upstream's rate limit.
     """
 
     address: str
@@ -137,26 +180,32 @@
     limits: LimitReports = {}
 
     def live(self, address: str, zone: ZoneId) -> Fleet:
-        """Return who is live, for an instance that goes by this digest."""
+        """Return the live fleet for an instance that follows this digest."""
         return Fleet(
             address, zone, tuple(self.speakers), tuple(self.members), self.count
         )
 
     @property
     def is_pointer(self) -> bool:
-        """Whether this only names a zone's speaker, and tells nothing of the zone."""
+        """Whether this only names a zone's speaker and holds no aggregate."""
         return not self.freshest_peer
 
 
 class Heartbeat(msgspec.Struct, array_like=True, tag="h"):
-    """What a speaker tells between two digests: that it lives, and what is newest.
-
-    The fields are those of its digests; `number` and what follows are over the fleet
-    if `is_fleet`, else over its zone. Unless `sequence` is 0, it also tells the work
-    at upstreams and the parts sent there: `packed_work` and `packed_prefixes` are
-    packed (`buckthornwall.peers.packing`), by the places of upstreams in the digest of
-    that sequence; `loads` and `cached_prefixes` are those that its places do not name,
-    and `unreachable`, `crash_checksum` and `limits` are as in a digest.
+    """Sign of life of a speaker between two digests, with the newest revision.
+
+    The fields have the meaning that they have in a digest, and cover the fleet if
+    `is_fleet`, else the sender's zone.
+
+    Attributes
+    ----------
+    sequence
+        Sequence of the digest to whose order of upstreams the packed fields refer; 0 if
+        the heartbeat has no loads.
+    packed_work, packed_prefixes
+        Loads and cached prefixes as `buckthornwall.peers.packing` encodes them.
+    loads, cached_prefixes
+        Those that cannot be packed, such as of upstreams that the digest did not list.
     """
 
     address: str
@@ -179,7 +228,7 @@
 
 
 class CrashReports(msgspec.Struct, array_like=True, tag="c"):
-    """What an instance knows of some requests that crash upstreams."""
+    """A batch of an instance's reports of requests that crash upstreams."""
 
     address: str
     reports: list[CrashReport]
@@ -189,11 +238,18 @@
 
 
 class PeerView(msgspec.Struct, array_like=True):
-    """What is in force at an instance; `published` is b'' if not asked for.
-
-    A watch from `revision` returns the changes after it; `change_revision` is the
-    revision of the newest change. `evacuated` gives the evacuated zones, and the
-    revisions of their records.
+    """The state in force at an instance.
+
+    Attributes
+    ----------
+    revision
+        A watch of the store from here returns all later changes.
+    change_revision
+        Revision of the newest change.
+    published
+        The configuration, or b'' if the client has it already.
+    evacuated
+        Evacuated zones, with the revisions of their records.
     """
 
     revision: int
@@ -204,18 +260,18 @@
 
 
 def encode(message: PeerMessage | PeerView) -> bytes:
-    """Return a message as bytes, compressed unless it is short."""
+    """Return the encoded message, compressed unless it is short."""
     data = cbor2.dumps(msgspec.to_builtins(message, builtin_types=(bytes,)))
     return data if len(data) < MIN_COMPRESSED_BYTES else zlib.compress(data)
 
 
 def decode(data: bytes, message_type: type) -> PeerMessage | PeerView:
-    """Return the message that `data` holds.
+    """Return the decoded message.
 
     Raises
     ------
     PeerError
-        PEER_MESSAGE if it is not such a message.
+        PEER_MESSAGE if `data` is not a message of this type.
     """
     try:
         max_bytes = MAX_VIEW_BYTES if message_type is PeerView else MAX_DATAGRAM_BYTES
@@ -232,9 +288,9 @@
 
 
 def _decompress(data: bytes, max_bytes: int) -> bytes:
-    """Return what was compressed, if it is no longer than so many bytes."""
+    """Return the decompressed data, which may have `max_bytes` at most."""
     reader = zlib.decompressobj()
     plain = reader.decompress(data, max_bytes)
     if not reader.eof:
-        raise PeerError(ResultCode.PEER_MESSAGE, "cut short, or too long")
+        raise PeerError(ResultCode.PEER_MESSAGE, "zlib data truncated or too long")
     return plain
--- a/packages/buckthornwall/src/buckthornwall/peers/packing.py
+++ b/packages/buckthornwall/src/buckthornwall/peers/packing.py
@@ -1,9 +1,9 @@
-"""Counts of work and prefixes of prompts in few bytes, for word that is told often.
+"""Compact binary encoding of loads and cached prefixes for frequent heartbeats.
 
-A speaker's whole digest of 59 engines and 33 members takes 4.7 KB; at 5 KB/s for each
-member that is one a second, and word that passes two speakers was a second old at the
-median. Here upstreams are named by their indexes in a list that the last digest gave,
-counts stand in columns, and units are as coarse as decisions allow.
+A complete digest of 59 engines and 33 members takes 4.7 KB. At 5 KB/s for each member
+that allows one a second, and reports relayed by two speakers are a second old at the
+median. Here upstreams are given by their index in the list of the last digest, values
+are stored in columns, and units are as coarse as decisions allow.
 """
 
 import struct
@@ -22,28 +22,28 @@
     "unpack_loads",
 ]
 
-# Prompt tokens are read in pieces of hundreds; engines' memory holds hundreds of
-# thousands. Waits count from 200 ms on.
+# Engines prefill prompts in chunks of hundreds of tokens, and their memory holds
+# hundreds of thousands. Only waits of 200 ms or more are reported.
 PENDING_PREFILL_UNIT_TOKENS = 32
 MEMORY_UNIT_TOKENS = 256
 WAIT_UNIT_MS = 20
 PREFIX_UNIT_TOKENS = 32
 MAX_UINT8 = 0xFF
 MAX_UINT16 = 0xFFFF
-# Ids of so many hexadecimal digits take four bytes.
+# Prefix ids with this many hexadecimal digits fit in four bytes.
 HEX_ID_DIGITS = 8
 HEX_DIGITS = frozenset("0123456789abcdef")
 
 
 def pack_loads(loads: dict[UpstreamId, Work], upstreams: list[UpstreamId]) -> bytes:
-    """Return the work at the upstreams of a list, in its order.
+    """Return the encoded work at the upstreams of a list, in its order.
 
     Parameters
     ----------
     loads
-        Work by upstream; those that the list does not name are left out.
+        Work by upstream; upstreams that are not in the list are left out.
     upstreams
-        The list, as whoever reads this has it.
+        The list, in the order that the receiver has it.
     """
     works = [loads.get(upstream, NO_WORK) for upstream in upstreams]
     ranks = sorted(
@@ -74,17 +74,17 @@
 
 
 def unpack_loads(data: bytes, upstreams: list[UpstreamId]) -> dict[UpstreamId, Work]:
-    """Return the work at upstreams that have any.
+    """Return the decoded work at upstreams that have any.
 
     Raises
     ------
     PeerError
-        PEER_MESSAGE if `data` is not such counts for this list.
+        PEER_MESSAGE if `data` is not the work at the upstreams of this list.
     """
     reader = _Reader(data)
     count, rank_count = reader.take("<HB")
     if count != len(upstreams):
-        raise PeerError(ResultCode.PEER_MESSAGE, "counts for another list")
+        raise PeerError(ResultCode.PEER_MESSAGE, "loads packed for another list")
     ranks = reader.take(f"<{rank_count}B")
     requests = reader.take(f"<{count}H")
     pause_sensitive = reader.take(f"<{count}B")
@@ -120,7 +120,7 @@
 def pack_cached_prefixes(
     cached_prefixes: CachedPrefixes, upstreams: list[UpstreamId]
 ) -> tuple[bytes, CachedPrefixes]:
-    """Return prefixes by the indexes of their engines, and those that do not fit so."""
+    """Return the encoded prefixes, and those that the encoding cannot represent."""
     indexes = {upstream: index for index, upstream in enumerate(upstreams)}
     rows, others = [], {}
     for upstream, prefixes in cached_prefixes.items():
@@ -138,12 +138,12 @@
 
 
 def unpack_cached_prefixes(data: bytes, upstreams: list[UpstreamId]) -> CachedPrefixes:
-    """Return prefixes by engine.
+    """Return the decoded prefixes by engine.
 
     Raises
     ------
     PeerError
-        PEER_MESSAGE if `data` does not hold prefixes at engines of this list.
+        PEER_MESSAGE if `data` is not prefixes at engines of this list.
     """
     reader = _Reader(data)
     (count,) = reader.take("<H")
@@ -154,7 +154,7 @@
     cached_prefixes: CachedPrefixes = {}
     for index, prefix, size in zip(indexes, prefixes, units, strict=True):
         if index >= len(upstreams):
-            raise PeerError(ResultCode.PEER_MESSAGE, "prefixes for another list")
+            raise PeerError(ResultCode.PEER_MESSAGE, "prefixes are of another list")
         name = f"{prefix:0{HEX_ID_DIGITS}x}"
         cached_prefixes.setdefault(upstreams[index], []).append(
             (name, size * PREFIX_UNIT_TOKENS)
@@ -163,7 +163,7 @@
 
 
 class _Reader:
-    """Takes fixed forms off the head of some bytes."""
+    """Reads consecutive struct formats from a buffer."""
 
     def __init__(self, data: bytes) -> None:
         self.data = data
@@ -179,16 +179,16 @@
         return values
 
     def end(self) -> None:
-        """Check that nothing is left."""
+        """Check that no bytes are left."""
         if self.offset != len(self.data):
-            raise PeerError(ResultCode.PEER_MESSAGE, "bytes behind the counts")
+            raise PeerError(ResultCode.PEER_MESSAGE, "trailing bytes after the data")
 
 
 NO_WORK = Work()
 
 
 def _units(value: int, unit: int) -> int:
-    """Return a count in units, rounded up: something never turns into nothing."""
+    """Return a count in units, rounded up so that a positive count is never 0."""
     return -(-value // unit)
 
 
--- a/packages/buckthornwall/src/buckthornwall/peers/received_message.py
+++ b/packages/buckthornwall/src/buckthornwall/peers/received_message.py
@@ -1,4 +1,4 @@
-"""The last message of a sender, and when it came."""
+"""The last message of a peer, and when it was received."""
 
 from dataclasses import dataclass, field
 
@@ -11,10 +11,16 @@
 
 @dataclass(slots=True)
 class ReceivedMessage:
-    """What was last heard of an instance.
-
-    Silence counts from `last_seen_at`; the message itself is of `sent_at`. `upstreams`
-    are the upstreams of a digest in its order, by which heartbeats tell counts.
+    """The last beacon or digest of a peer.
+
+    Attributes
+    ----------
+    last_seen_at
+        When the peer was last known to be live; it is lost after a silence from then.
+    sent_at
+        When the message was sent, or last updated by a heartbeat.
+    upstreams
+        Upstreams of a digest in its order, to which packed heartbeats refer.
     """
 
     message: Beacon | Digest
@@ -24,5 +30,5 @@
 
     @classmethod
     def from_digest(cls, digest: Digest, sent_at: float) -> "ReceivedMessage":
-        """Return a digest that was told at `sent_at`."""
+        """Return the record of a digest that was sent at `sent_at`."""
         return cls(digest, sent_at, sent_at, list(digest.loads))
--- a/packages/buckthornwall/src/buckthornwall/peers/work.py
+++ b/packages/buckthornwall/src/buckthornwall/peers/work.py
@@ -1,4 +1,4 @@
-"""Sums of what instances have in flight at upstreams."""
+"""Outstanding work of instances at upstreams, and sums of it."""
 
 from buckthornwall.pools.load import NO_PEERS, Load, PeerLoad
 from buckthornwall.utils import UpstreamId
@@ -9,13 +9,12 @@
 
 NO_WORK = Work()
 MS_PER_S = 1000.0
-# Shorter waits say nothing that counts of pending prefill tokens do not, and cost
-# bytes.
+# Shorter waits add bytes, but nothing that the pending prefill tokens do not show.
 MIN_REPORTED_WAIT_S = 0.2
 
 
 def outstanding_work(load: Load, now: float) -> Work:
-    """Return what this instance has in flight at an upstream."""
+    """Return the outstanding work of this instance at an upstream."""
     oldest_wait_ms = {
         rank: int(age * MS_PER_S)
         for rank, age in load.waits.oldest_wait_s(now).items()
@@ -31,7 +30,7 @@
 
 
 def add_work(total: dict[UpstreamId, Work], added: dict[UpstreamId, Work]) -> None:
-    """Add the work of a added to a total."""
+    """Add the work of some instances to a total."""
     for upstream, work in added.items():
         previous = total.get(upstream, NO_WORK)
         pending_prefill = dict(previous.pending_prefill)
@@ -50,9 +49,9 @@
 
 
 def subtract_local(work: Work, local: Work) -> PeerLoad:
-    """Return a sum without this instance's added of it.
+    """Return a sum less the share of this instance.
 
-    The oldest of all stays the oldest, whoever sent it.
+    The oldest waits stay, whichever instance sent the request.
     """
     requests = max(0, work.requests - local.requests)
     pending_prefill = {
