--- a/packages/buckthornwall/src/buckthornwall/peers/election.py
+++ b/packages/buckthornwall/src/buckthornwall/peers/election.py
@@ -1,4 +1,4 @@
-"""The order in which instances of a zone speak for it."""
+"""Priority of instances in the election of their zone's speaker."""
 
 from functools import lru_cache
 from hashlib import blake2b
@@ -7,17 +7,17 @@
 
 __all__ = ["election_priority", "sender_priority"]
 
-# Addresses whose hashes are kept: those of a fleet of the size to come, twice over.
+# Twice the number of instances in the largest planned fleet.
 HASH_CACHE_SIZE = 700
 
 
 def election_priority(address: str, weight: float) -> tuple[float, bytes]:
-    """Return an instance's place in the order of speakers."""
+    """Return an instance's priority: its weight, then a hash of its address."""
     return weight, _hash(address)
 
 
 def sender_priority(digest: Digest) -> tuple[float, bytes]:
-    """Return the place of the speaker that a digest is of."""
+    """Return the priority of the speaker named in a digest."""
     return election_priority(digest.address, digest.weight)
 
 
--- a/packages/buckthornwall/src/buckthornwall/peers/prefix_relay.py
+++ b/packages/buckthornwall/src/buckthornwall/peers/prefix_relay.py
@@ -1,4 +1,4 @@
-"""Which shared parts of prompts a speaker tells of, and for how long."""
+"""Cached prefixes that a speaker relays, and for how long."""
 
 from buckthornwall.pools import CachedPrefixes, PrefixUpdates, merge_cached_prefixes
 
@@ -6,19 +6,19 @@
 
 __all__ = ["PrefixRelay"]
 
-# A speaker tells what it heard of prompts in so many of its words, and for so many
-# seconds at least.
+# A speaker relays a prefix for this many of its report intervals, and for at least this
+# many seconds.
 RELAY_INTERVALS = 1.5
 MIN_RELAY_S = 0.35
 
 
 class PrefixRelay:
-    """Parts that were sent to engines lately, by who told of them.
+    """Prefixes that were recently sent to engines, by where they were reported.
 
     Attributes
     ----------
     local_zone, remote_zones : PrefixUpdates
-        What the zone's members, and other zones' speakers, have told.
+        Reports of the zone's members, and of other zones' speakers.
     """
 
     def __init__(self) -> None:
@@ -26,9 +26,9 @@
         self.remote_zones = PrefixUpdates(MIN_RELAY_S)
 
     def set_interval(self, seconds: float) -> None:
-        """Take how far apart the words are in which this instance tells of parts.
+        """Set the interval between two reports that hold prefixes.
 
-        A part that is told for less than that is told in none of them.
+        A prefix that is relayed for a shorter time may be in none of them.
         """
         repeat_s = max(MIN_RELAY_S, RELAY_INTERVALS * seconds)
         self.local_zone.repeat_s = self.remote_zones.repeat_s = repeat_s
@@ -36,7 +36,7 @@
     def current(
         self, local_beacon: Beacon, is_fleet: bool, now: float
     ) -> CachedPrefixes:
-        """Return the parts that the zone's instances, or the fleet's, tell of."""
+        """Return the recent prefixes of the zone's instances, or of the fleet's."""
         cached_prefixes = dict(local_beacon.cached_prefixes)
         merge_cached_prefixes(cached_prefixes, self.local_zone.to_send(now))
         if is_fleet:
--- a/packages/buckthornwall/src/buckthornwall/peers/recipients.py
+++ b/packages/buckthornwall/src/buckthornwall/peers/recipients.py
@@ -1,4 +1,4 @@
-"""Whom a speaker tells the same words."""
+"""Peers that a speaker sends the same reports."""
 
 from .pacing import ReportKind, ReportPacing
 
@@ -11,13 +11,13 @@
     Parameters
     ----------
     is_fleet
-        Whether they are told of the fleet, or of the speaker's zone.
+        Whether reports cover the fleet, not only the speaker's zone.
     pacing
-        When they are told what.
+        Decides when which report is due.
 
     Attributes
     ----------
-    digest : bytes
+    last_digest : bytes
         The last digest, as it was sent.
     """
 
@@ -27,16 +27,16 @@
         self.reset(0.0)
 
     def reset(self, now: float) -> None:
-        """Record that the speaker begins to speak."""
+        """Start over, as a new speaker does."""
         self.pacing.reset(now)
         self.last_digest = b""
         self._digest_recipients: set[str] = set()
 
     def new_recipients(self, addresses: list[str]) -> list[str]:
-        """Return who has not been sent the last digest, and count them as sent it.
+        """Return the peers that have not been sent the last digest; record it as sent.
 
-        Without it heartbeats tell them nothing, and two zones' speakers that know of
-        each other by turns may never meet a digest.
+        Without the digest they cannot read heartbeats, and the speakers of two zones
+        that know each other only intermittently may never receive one.
         """
         if not self.last_digest:
             return []
@@ -49,7 +49,7 @@
     def record_sent(
         self, kind: ReportKind, data: bytes, addresses: list[str], now: float
     ) -> None:
-        """Record that a word was told to all."""
+        """Record that a report was sent to all addresses."""
         self.pacing.record_sent(kind, len(data), now)
         if kind is ReportKind.DIGEST:
             self.last_digest = data
--- a/packages/buckthornwall/src/buckthornwall/peers/table.py
+++ b/packages/buckthornwall/src/buckthornwall/peers/table.py
@@ -1,10 +1,9 @@
-"""Who speaks for a zone, and the sum of all work: a pure state machine.
+"""Election of speakers and aggregation of loads, as a pure state machine.
 
-In each zone the live instance of the highest order speaks; the order is weight,
-then a hash of addresses, so no vote is needed. Everyone tells its speaker what
-it does; the speakers tell each other their zones' sums, and their members the
-whole. Two speakers in one zone for a moment make the sums wrong for a moment,
-no more.
+In each zone the live instance with the highest priority is the speaker; the priority
+is the weight, then a hash of the address, so no vote is needed. Members report to their
+speaker; speakers send their zone's aggregate to each other, and the fleet's to their
+members. If a zone has two speakers for a moment, only the sums are wrong meanwhile.
 """
 
 import msgspec
@@ -31,23 +30,23 @@
 __all__ = ["PeerTable"]
 
 MS_PER_S = 1000.0
-# Who follows a speaker tells the members that the old one named for so many seconds:
-# until they have received it, also where datagrams are lost, and told it of themselves.
+# A new speaker sends reports to the members of its predecessor for this long: until
+# they have received one, even if datagrams are lost, and have reported to it.
 INHERITED_MEMBERS_S = 3.0
 
 
 class PeerTable:
-    """What this instance knows of the others.
+    """The peers that this instance knows.
 
     Parameters
     ----------
     address, weight, zone
-        Where this instance is, and how much it can carry for others.
+        Address, capacity for relaying, and zone of this instance.
     silence_s
-        Seconds without a word after which a sender is taken to be gone.
+        Seconds without a message after which a peer is taken to be lost.
     stagger_s
-        Seconds that each place in the order waits longer than the one before
-        it, so that a dead speaker is not followed by all at once.
+        Seconds that an instance waits for each one of higher priority before it takes
+        over, so that not all take over from a lost speaker at once.
     """
 
     def __init__(
@@ -71,10 +70,10 @@
         self.prefixes = PrefixRelay()
         self._counts = CountsWriter()
 
-    # Hearing
+    # Receiving
 
     def receive_beacon(self, beacon: Beacon, now: float) -> bool:
-        """Take a beacon of the zone; tell whether its sender is new here."""
+        """Record a beacon of the zone; return whether its sender is new."""
         if beacon.address == self.address:
             return False
         if beacon.state is PeerState.LEAVING:
@@ -89,10 +88,10 @@
         return is_new
 
     def _receive_departure(self, beacon: Beacon, now: float) -> None:
-        """Record that an instance leaves; it says so until it has ended.
+        """Record a departure, which the peer announces until its process ends.
 
-        Only the first word ends its time as a speaker. Where each word begins the wait
-        for the next speaker anew, members hear no news until it has ended.
+        Only the first announcement ends its time as a speaker. If each one restarted
+        the wait for the next speaker, members would receive no updates until its end.
         """
         address = beacon.address
         self.departures.receive(beacon, now)
@@ -102,10 +101,10 @@
                 speaker.last_seen_at = min(speaker.last_seen_at, now - self.silence_s)
 
     def receive_digest(self, digest: Digest, now: float) -> None:
-        """Take a digest of this zone's speaker, or of another zone's.
+        """Record a digest of the speaker of this zone or of another one.
 
-        Passed on by others it is as old as they say. One that only points to a speaker
-        of this zone is not its word; the agent queries the instance that it names.
+        A relayed digest has the age that it states. A pointer to a speaker of this zone
+        does not come from it; the agent queries the instance that it names.
         """
         at = now - digest.age_ms / MS_PER_S
         is_stale = now - at > self.silence_s
@@ -125,17 +124,17 @@
     def receive_heartbeat(
         self, heartbeat: Heartbeat, now: float
     ) -> CachedPrefixes | None:
-        """Record that a speaker whose digest is known lives, and what is newest.
+        """Record that a speaker with a known digest is live, and its newest revision.
 
         Returns
         -------
         dict or None
-            The prefixes that it tells of, if it tells of work at upstreams.
+            The cached prefixes that it holds, or None if it holds no loads.
 
         Raises
         ------
         PeerError
-            PEER_MESSAGE if its counts are none.
+            PEER_MESSAGE if its packed fields are malformed.
         """
         is_local_zone = heartbeat.zone == self.zone
         received = self.speaker if is_local_zone else self.zones.get(heartbeat.zone)
@@ -160,9 +159,9 @@
     def _supersedes(
         self, digest: Digest, current: ReceivedMessage | None, now: float
     ) -> bool:
-        """Tell whether a digest counts in place of the last one of its zone.
+        """Return whether a digest replaces the last one of its zone.
 
-        One without instances only points to a speaker.
+        A digest without instances is only a pointer to a speaker.
         """
         if current is None or now - current.last_seen_at > self.silence_s:
             return True
@@ -171,7 +170,7 @@
         return sender_priority(digest) >= sender_priority(current.message)
 
     def expire(self, now: float) -> list[str]:
-        """Drop who has been silent; return the members among them."""
+        """Drop peers that have been silent; return the members among them."""
         gone = [
             address
             for address, received in self.members.items()
@@ -185,10 +184,10 @@
         self.departures.expire(now)
         return gone
 
-    # Speaking
+    # Election and reports
 
     def is_speaker(self, now: float) -> bool:
-        """Tell whether this instance speaks for its zone."""
+        """Return whether this instance is the speaker of its zone."""
         speaker = self.speaker
         if speaker is None:
             return True
@@ -202,7 +201,7 @@
         )
 
     def is_outranked(self, digest: Digest, now: float) -> bool:
-        """Tell whether a higher one than a digest's sender speaks for this zone."""
+        """Return whether this zone's speaker has a higher priority than the sender."""
         if digest.is_pointer or digest.address == self.address:
             return False
         if self.is_speaker(now):
@@ -212,7 +211,7 @@
         return sender_priority(self.speaker.message) > sender_priority(digest)
 
     def _takeover_delay_s(self, digest: Digest) -> float:
-        """Return how long those of a higher order have to speak up first."""
+        """Return the time that instances of higher priority have to take over first."""
         local_priority = election_priority(self.address, self.weight)
         higher = sum(
             1
@@ -223,15 +222,15 @@
         return higher * self.stagger_s
 
     def speaker_address(self, now: float) -> str | None:
-        """Return whom to tell, or None if this instance speaks itself."""
+        """Return the speaker's address, or None if this instance is the speaker."""
         return None if self.is_speaker(now) else self.speaker.message.address
 
     def member_addresses(self, now: float) -> list[str]:
-        """Return whom a speaker tells: who tells it, and whom the last one named.
+        """Return the members that a speaker reports to.
 
-        Were only those told that tell it, nobody would hear of the next speaker, and
-        each member would follow after a wait of its own. Who leaves still serves, and
-        is to have the newest version.
+        They include the members of its predecessor: else these would not learn of the
+        new speaker, and each would take over after a wait of its own. They include
+        departing peers, which still serve and need the newest configuration.
         """
         addresses = dict.fromkeys(self.members)
         addresses |= dict.fromkeys(self.departures.in_zone(self.zone))
@@ -242,7 +241,7 @@
         return list(addresses)
 
     def other_speakers(self) -> dict[ZoneId, str]:
-        """Return the speakers of other zones, as far as they are known."""
+        """Return the known speakers of other zones."""
         known = dict(self.speaker.message.speakers) if self.speaker else {}
         known |= {
             zone: received.message.address for zone, received in self.zones.items()
@@ -251,14 +250,14 @@
         return known
 
     def make_digest(self, local_beacon: Beacon, is_fleet: bool, now: float) -> Digest:
-        """Return what this instance tells as a speaker.
+        """Return the digest that this instance sends as a speaker.
 
         Parameters
         ----------
         local_beacon
-            What it would report to a speaker.
+            The beacon that it would send to a speaker.
         is_fleet
-            Whether other zones are included, as for members.
+            Whether to include other zones, as for members.
         now
             The time in seconds.
         """
@@ -286,20 +285,20 @@
         )
 
     def assign_sequence(self, digest: Digest) -> None:
-        """Give a digest its number, so that counts may name its upstreams."""
+        """Number a digest, so that heartbeats can refer to its order of upstreams."""
         self._counts.assign_sequence(digest)
 
     def add_counts(
         self, heartbeat: Heartbeat, local_beacon: Beacon, now: float
     ) -> None:
-        """Let a heartbeat tell the work at upstreams, and the prefixes sent there.
+        """Add loads and cached prefixes to a heartbeat.
 
         Parameters
         ----------
         heartbeat
-            As `make_heartbeat` returned it, after a digest that was numbered.
+            Returned by `make_heartbeat`, after a digest that was numbered.
         local_beacon, now
-            As for a digest.
+            As in `make_digest`.
         """
         beacons, remote = (
             self._zone_beacons(local_beacon),
@@ -311,19 +310,20 @@
         heartbeat.unreachable = sum_unreachable(beacons, remote)
 
     def _zone_beacons(self, local_beacon: Beacon) -> list[Beacon]:
-        """Return what the instances of the zone say of themselves."""
+        """Return the beacons of this instance and of the zone's members."""
         return [local_beacon, *(received.message for received in self.members.values())]
 
     def _remote_zones(self, is_fleet: bool) -> list[ReceivedMessage]:
-        """Return what other zones' speakers told, if the fleet is asked for."""
+        """Return the digests of other zones, or none if only this zone is covered."""
         return list(self.zones.values()) if is_fleet else []
 
     def make_heartbeat(
         self, local_beacon: Beacon, is_fleet: bool, now: float
     ) -> Heartbeat:
-        """Return what this instance tells between two digests.
+        """Return the heartbeat that this instance sends between two digests.
 
-        Parameters are those of a digest. What was received grows older meanwhile.
+        Parameters are those of `make_digest`. Received values are aged since they were
+        sent.
         """
         beacons, remote = self._zone_beacons(local_beacon), self._remote_zones(is_fleet)
         messages = [*self.members.values(), *remote]
@@ -350,25 +350,25 @@
             merge_newer_revision(heartbeat, received.message)
         return heartbeat
 
-    # What follows for this instance
+    # State as seen by this instance
 
     def fleet_digest(self, local_beacon: Beacon, now: float) -> Digest:
-        """Return the digest of the fleet as it is known here."""
+        """Return the digest of the fleet that this instance follows."""
         if self.is_speaker(now):
             return self.make_digest(local_beacon, is_fleet=True, now=now)
         return self.speaker.message
 
     def relayed_digest(self, local_beacon: Beacon, now: float) -> Digest:
-        """Return the digest of the fleet for an instance that asks who speaks.
+        """Return the digest of the fleet for an instance that looks up its speaker.
 
-        It says how old it is: told as if it were new, the word of a speaker that had
-        died was gone by for up to twice as long.
+        It states its age: sent as new, the digest of a dead speaker would be followed
+        for up to twice as long.
         """
         digest = self.fleet_digest(local_beacon, now)
         return msgspec.structs.replace(digest, age_ms=self._age_ms(now), sequence=0)
 
     def _age_ms(self, now: float) -> int:
-        """Return how long ago the speaker that this instance goes by was received."""
+        """Return the time since the speaker of this zone was last seen."""
         return (
             0
             if self.is_speaker(now)
@@ -376,9 +376,9 @@
         )
 
     def staleness_s(self, now: float) -> float:
-        """Return how old the last digest is that this instance goes by, in seconds.
+        """Return the age in seconds of the report that this instance follows.
 
-        0 where it speaks itself, and so goes by its own reading.
+        0 if this instance is the speaker, and so follows its own reads of the store.
         """
         return 0.0 if self.is_speaker(now) else now - self.speaker.sent_at
 
@@ -397,7 +397,7 @@
         }
 
     def limits(self, local_beacon: Beacon, now: float) -> LimitReports:
-        """Return the newest word on what upstreams take in a second."""
+        """Return the newest report of each upstream's rate limit."""
         if self.is_speaker(now):
             received = [*self.members.values(), *self._remote_zones(is_fleet=True)]
             return merge_limits(local_beacon, received, now)
@@ -406,7 +406,7 @@
         )
 
     def unreachable(self, local_beacon: Beacon, now: float) -> Unreachable:
-        """Return how many instances could lately not reach which upstream."""
+        """Return by upstream how many instances could not reach it recently."""
         if self.is_speaker(now):
             return sum_unreachable(
                 self._zone_beacons(local_beacon), self._remote_zones(is_fleet=True)
