--- a/packages/buckthornwall/src/buckthornwall/peers/__init__.py
+++ b/packages/buckthornwall/src/buckthornwall/peers/__init__.py
@@ -1,23 +1,29 @@
-"""What instances tell each other: who is there, how loaded, what is in force.
+"""Gossip between instances: membership, load, and the state in force.
 
-============= ============================================================
-`messages`    beacons, digests, heartbeats, and the view that a peer may ask for
-`table`       who speaks for a zone, and what it tells
-`received`    the last message of a sender
-`departures`     who has said that it leaves
-`order`       the order in which instances speak
-`newest`      what is newest of two words
-`parts`       which parts of prompts a speaker tells of
-`counts`      counts in heartbeats, named as in the last digest
-`work`        the work of one instance, and sums of it
-`sums`        what several instances tell, put together
-`packing`     counts of work in few bytes
-`pacing`      how often a speaker tells what
-`listeners`   whom it tells the same words
-`speaker_lookup`   how instances find the speaker of their zone
-`agent`       the tasks that tell and hear
-`views`       asking a peer for what is in force, and answering that
-============= ============================================================
+In each zone one instance, the speaker, is elected by a fixed priority. It aggregates
+the beacons of its zone's members into digests, exchanges these with the speakers of
+other zones, and relays the digest of the whole fleet to its members, with heartbeats
+between digests.
+
+==================== =========================================================
+`messages`           beacons, digests, heartbeats, and the view of the state in force
+`table`              the election, and the aggregation of what peers report
+`received_message`   the last message of a peer, and when it was received
+`departures`         peers that have announced their departure
+`election`           the priority of instances in the election of a speaker
+`freshness`          merges of the newest revision and of the store's read age
+`prefix_relay`       the cached prefixes that a speaker relays
+`counts`             packed loads in heartbeats, by the order of the last digest
+`work`               outstanding work at an upstream, and sums of it
+`aggregation`        loads, reachability and rate limits of several peers
+`packing`            a compact binary form of loads and cached prefixes
+`pacing`             when a speaker sends which kind of report
+`recipients`         peers that are sent the same reports
+`speaker_lookup`     how instances find the speaker of their zone
+`crash_exchange`     gossip of requests that crash upstreams
+`agent`              the tasks that send and receive datagrams
+`views`              client and server of the state in force at a peer
+==================== =========================================================
 """
 
 from .agent import PeerAgent, PeerSettings
--- a/packages/buckthornwall/src/buckthornwall/peers/agent.py
+++ b/packages/buckthornwall/src/buckthornwall/peers/agent.py
@@ -1,4 +1,4 @@
-"""The tasks that tell and hear what instances do."""
+"""The tasks that send and receive the peers' datagrams."""
 
 import socket
 from collections.abc import Awaitable, Callable
@@ -35,7 +35,7 @@
 
 
 class PeerSettings(ConfigNamespace):
-    """Settings of what instances tell each other."""
+    """Settings of the gossip between instances."""
 
     section = "peers"
 
@@ -51,40 +51,40 @@
     )
     weight = ConfigItem(
         1.0,
-        "How much this instance can carry for others, such as its link in Mbit/s; "
-        "those that can carry most speak for their zone.",
+        "Capacity of this instance for relaying, such as its link in Mbit/s; the "
+        "instance with the highest weight becomes the speaker of its zone.",
         minimum=0,
     )
     beacon_ms = ConfigItem(
         100.0, "Milliseconds between two beacons to the zone's speaker.", minimum=10
     )
     digest_ms = ConfigItem(
-        100.0, "Milliseconds between two words of a speaker.", minimum=10
+        100.0, "Milliseconds between two reports of a speaker.", minimum=10
     )
     digest_bytes_per_s = ConfigItem(
         5000.0,
-        "Most bytes that a speaker sends one member in a second; where digests would "
-        "take more, counts of work come between them.",
+        "Maximum bytes a second that a speaker sends to one member; where digests "
+        "would take more, heartbeats with packed loads are sent between them.",
         minimum=100,
     )
     zone_bytes_per_s = ConfigItem(
         8000.0,
-        "Most bytes that a speaker sends another zone's speaker in a second.",
+        "Maximum bytes a second that a speaker sends to another zone's speaker.",
         minimum=100,
     )
     heartbeat_ms = ConfigItem(
         200.0,
-        "Milliseconds between two heartbeats of a speaker whose words are further "
-        "apart.",
+        "Milliseconds between two heartbeats of a speaker whose other reports are "
+        "further apart.",
         minimum=10,
     )
     silence_ms = ConfigItem(
-        800.0, "Milliseconds of silence after which a peer counts as gone.", minimum=50
+        800.0, "Milliseconds of silence after which a peer counts as lost.", minimum=50
     )
     stagger_ms = ConfigItem(
         100.0,
-        "Milliseconds by which each instance of a zone follows the one before it, "
-        "where their speaker is gone.",
+        "Milliseconds that each instance of a zone waits for every instance of higher "
+        "priority to take over from a lost speaker.",
         minimum=0,
     )
 
@@ -95,7 +95,7 @@
     Raises
     ------
     OSError
-        If the address is taken, or not of this host.
+        If the address is in use, or does not belong to this host.
     """
     host, _, port = address.rpartition(":")
     sock = trio.socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
@@ -104,7 +104,7 @@
 
 
 class PeerAgent:
-    """Owns the datagram socket.
+    """Sends and receives the datagrams of this instance.
 
     Parameters
     ----------
@@ -113,11 +113,11 @@
     zone
         The zone of this instance.
     make_beacon
-        Returns what this instance says of itself.
+        Returns the current beacon of this instance.
     clock
         Source of time.
     quarantine
-        What is known of requests that crash upstreams.
+        The known requests that crash upstreams.
     """
 
     def __init__(
@@ -160,7 +160,7 @@
         self._socket: SocketType | None = None
 
     async def run(self, *, task_status=trio.TASK_STATUS_IGNORED) -> None:
-        """Tell and hear until cancelled."""
+        """Send and receive until cancelled."""
         self._socket = await self.open_socket(self.settings.listen)
         with self._socket:
             async with trio.open_nursery() as nursery:
@@ -170,7 +170,7 @@
                 await self._run_reports()
 
     async def send_reports(self) -> None:
-        """Tell the speaker, or as the speaker everyone, once."""
+        """Send a beacon to the speaker or, as the speaker, the reports that are due."""
         now = self.clock.now()
         local_beacon = self.make_beacon()
         speaker = self.table.speaker_address(now)
@@ -187,7 +187,7 @@
         self.on_work()
 
     async def _send_crash_reports(self, speaker: str | None, now: float) -> None:
-        """Tell what is new of requests that crash upstreams."""
+        """Send the crash reports that are due."""
         for address, reports in self.crash_exchange.due(
             self._report_addresses(speaker, now), now
         ):
@@ -195,7 +195,7 @@
             await self._send(encode(message), address)
 
     async def _send_speaker_reports(self, local_beacon: Beacon, now: float) -> None:
-        """Tell other speakers of this zone, and members of the fleet, what is due."""
+        """Send zone reports to other speakers, and fleet reports to members."""
         others = list(self.table.other_speakers().values())
         await self._send_due_report(self.speaker_recipients, local_beacon, others, now)
         members = self.table.member_addresses(now)
@@ -238,13 +238,13 @@
     async def _announce_departure(
         self, local_beacon: Beacon, speaker: str | None, now: float
     ) -> None:
-        """Tell who counts this instance that it leaves, and speak no more."""
+        """Send the departure to all peers that count this instance; send no reports."""
         data = encode(local_beacon)
         for address in self._report_addresses(speaker, now):
             await self._send(data, address)
 
     def _report_addresses(self, speaker: str | None, now: float) -> list[str]:
-        """Return whom this instance tells: its speaker, or as the speaker everyone."""
+        """Return the speaker or, as the speaker, all members and other speakers."""
         if speaker is not None:
             return [speaker]
         others = self.table.other_speakers().values()
@@ -260,7 +260,7 @@
     async def _run_reports(self) -> None:
         while True:
             gone = self.table.expire(self.clock.now())
-            if self._was_speaker:  # members of others tell those, and are not lost
+            if self._was_speaker:  # members that report to another speaker are not lost
                 for address in gone:
                     log_event("peer_lost", "WARNING", peer=address)
             await self.send_reports()
@@ -322,7 +322,7 @@
             self.on_work()
 
     def _note_checksum(self, message: Beacon | Digest | Heartbeat, now: float) -> None:
-        if message.address != self.settings.listen:  # its own may be passed on to it
+        if message.address != self.settings.listen:  # may be its own, relayed
             self.crash_exchange.note_checksum(
                 message.address, message.crash_checksum, now
             )
@@ -341,8 +341,8 @@
     async def _handle_digest(self, digest: Digest, now: float) -> None:
         is_local_zone = digest.zone == self.table.zone
         if is_local_zone and digest.is_pointer and self.table.is_speaker(now):
-            # A pointer is not the word of whom it names: taken for that, it would
-            # make a speaker fall silent.
+            # A pointer was not sent by the speaker that it names. Taken for that
+            # speaker's digest, it would make this speaker stand down.
             await self.speaker_lookup.request_speaker(digest.address)
             return
         self.table.receive_digest(digest, now)
--- a/packages/buckthornwall/src/buckthornwall/peers/crash_exchange.py
+++ b/packages/buckthornwall/src/buckthornwall/peers/crash_exchange.py
@@ -1,9 +1,9 @@
 """Gossip of requests that crash upstreams.
 
 Changes are sent at once: from a member to its zone's speaker, and from a speaker to its
-members and to other speakers. Losses, and what was sent before an instance started,
-show by checksums that differ for longer than changes take; then everything is sent
-(anti-entropy).
+members and to other speakers. Lost datagrams, and changes from before an instance
+started, show as checksums that differ for longer than changes take to propagate; then
+all reports are sent (anti-entropy).
 """
 
 from dataclasses import dataclass
@@ -12,36 +12,36 @@
 
 __all__ = ["CrashExchange"]
 
-# A datagram of so many reports fits a packet of 1,400 bytes, and ten a second the bytes
-# that an instance may receive.
+# A datagram with this many reports fits a packet of 1,400 bytes, and ten of them a
+# second fit the bytes that an instance may receive.
 MAX_REPORTS = 32
-# Changes reach the others within so many seconds, unless they are lost.
+# Time in which changes reach the other instances unless they are lost.
 PROPAGATION_S = 0.6
-# Between two complete transfers to one instance: at first, and at most.
+# Bounds of the exponential back-off between two complete transfers to one instance.
 MIN_RESYNC_INTERVAL_S = 1.0
 MAX_RESYNC_INTERVAL_S = 30.0
 
 
 @dataclass(slots=True)
 class _PendingResync:
-    """A complete transfer to an instance that knows something else; in seconds."""
+    """A complete transfer to a peer whose checksum differs; times in seconds."""
 
     due_at: float
     interval_s: float = MIN_RESYNC_INTERVAL_S
 
 
 class CrashExchange:
-    """Which reports are due, and to whom.
+    """Decides which crash reports are due to which peer.
 
     Parameters
     ----------
     table
-        What is known here.
+        The crash reports that this instance holds.
 
     Attributes
     ----------
     was_in_sync : bool
-        Whether this instance has once known what another one knew.
+        Whether the checksum has matched that of a peer at least once.
     """
 
     def __init__(self, table: QuarantineTable) -> None:
@@ -50,7 +50,7 @@
         self._pending: dict[str, _PendingResync] = {}
 
     def note_checksum(self, address: str, checksum: int, now: float) -> None:
-        """Compare what another instance knows with what is known here."""
+        """Compare the checksum of a peer with the local one, and schedule a resync."""
         if checksum == self.table.checksum:
             self.was_in_sync = True
             self._pending.pop(address, None)
@@ -62,12 +62,12 @@
     def due(
         self, addresses: list[str], now: float
     ) -> list[tuple[str, list[CrashReport]]]:
-        """Return the messages that are due: an address, and its reports.
+        """Return the messages that are due, as address and reports.
 
         Parameters
         ----------
         addresses
-            Whom this instance sends gossip.
+            The peers that this instance sends gossip to.
         now
             The time in seconds.
         """
@@ -90,7 +90,7 @@
         return messages
 
     def _delay_resyncs(self, now: float) -> None:
-        """Let a change reach the others before their checksums count."""
+        """Delay resyncs until a change has had time to propagate."""
         for resync in self._pending.values():
             resync.due_at = max(resync.due_at, now + PROPAGATION_S)
 
--- a/packages/buckthornwall/src/buckthornwall/peers/speaker_lookup.py
+++ b/packages/buckthornwall/src/buckthornwall/peers/speaker_lookup.py
@@ -12,13 +12,13 @@
 __all__ = ["LOOKUP_INTERVAL_S", "SpeakerLookup"]
 
 LOOKUP_INTERVAL_S = 0.5
-# A speaker looks for others that it does not know of this often.
+# A speaker that knows others still looks for unknown groups at this interval.
 SLOW_LOOKUP_INTERVAL_S = 2.0
 UNKNOWN_AGE_MS = 1_000_000_000
 
 
 class SpeakerLookup:
-    """Asks who speaks, and answers those that ask.
+    """Looks up the speaker of this instance's zone, and answers lookups.
 
     Parameters
     ----------
@@ -26,9 +26,9 @@
         Returns the instances to contact first, as IP:port. The list may change; only
         the IP address is used.
     table
-        What is known of the others.
+        The table of peers.
     make_beacon
-        Returns what this instance says of itself.
+        Returns the current beacon of this instance.
     send
         Sends a datagram to an address.
     clock
@@ -50,9 +50,9 @@
         self.clock = clock
 
     async def run(self) -> None:
-        """Greet seeds, which may come up at any time, until a speaker is known.
+        """Query the seeds, which may start at any time, until a speaker is known.
 
-        A speaker goes on, since another group may not know of this one.
+        A speaker continues, since another group may not know of this one.
         """
         while True:
             now = self.clock.now()
@@ -69,7 +69,7 @@
             await self.request_speaker(f"{seed.partition(':')[0]}:{port}")
 
     async def request_speaker(self, address: str) -> None:
-        """Ask an instance who speaks for this one's zone."""
+        """Ask an instance for the speaker of this instance's zone."""
         local_beacon = self.make_beacon()
         local_beacon.requests_speaker = True
         if address != self.table.address:
@@ -88,9 +88,10 @@
             )
 
     async def answer(self, beacon: Beacon, now: float) -> None:
-        """Tell who speaks: in the greeter's zone, and for this one.
+        """Send the speakers of the sender's zone and of this one.
 
-        Whoever leaves says that instead, or it would be taken for a speaker again.
+        An instance that is leaving sends its departure instead, else it would be taken
+        for a speaker again.
         """
         local_beacon = self.make_beacon()
         if local_beacon.state is PeerState.LEAVING:
@@ -110,7 +111,7 @@
 
 
 def _speaker_pointer(digest: Digest) -> Digest:
-    """Return who speaks, without work that would be counted twice."""
+    """Return a digest of the speakers only, without loads that would count twice."""
     return Digest(
         address=digest.address,
         weight=digest.weight,
--- a/packages/buckthornwall/src/buckthornwall/peers/views.py
+++ b/packages/buckthornwall/src/buckthornwall/peers/views.py
@@ -1,4 +1,4 @@
-"""Asking a peer for what is in force, and answering that."""
+"""Client and server of the state in force at a peer."""
 
 import trio
 
@@ -15,15 +15,15 @@
 __all__ = ["ViewClient", "answer_view"]
 
 TIMEOUT_S = 1.0
-# A peer that has gone dark is given up after this long, a hundred ways to it and back;
-# whoever asked reads the store then.
+# A hundred round trips. If a peer does not answer within this time, the client reads
+# the store instead.
 CONNECT_TIMEOUT_S = 0.3
 VIEW_PATH = b"/view?number="
 CBOR = [(b"Content-Type", b"application/cbor")]
 
 
 class ViewClient:
-    """Asks peers, over a new connection each time."""
+    """Requests the views of peers, over a new connection each time."""
 
     async def ask(self, address: str, number: int) -> PeerView:
         """Return a peer's view; its configuration only if newer than `number`.
@@ -31,7 +31,7 @@
         Raises
         ------
         PeerError
-            If the peer does not answer as it should.
+            If the peer does not answer in time, or not with a view.
         """
         try:
             with trio.fail_after(TIMEOUT_S):
@@ -58,7 +58,10 @@
 async def answer_view(
     incoming: IncomingRequest, answer: Answer, view: PeerView, number: int
 ) -> None:
-    """Answer a peer that asks for what is in force here."""
+    """Answer a peer's request for the state in force here.
+
+    The configuration is left out if the peer has this number or a newer one.
+    """
     path, _, known_number = incoming.target.partition(b"number=")
     if not known_number.isdigit():
         await answer.whole(404, [], b"")
