--- a/packages/buckthornwall/src/buckthornwall/peers/agent.py
+++ b/packages/buckthornwall/src/buckthornwall/peers/agent.py
@@ -46,45 +46,44 @@
         required=True,
     )
     seeds = ConfigItem(
-        [],
-        "Instances to contact first, as IP:port; only the IP address is used.",
+        [], "Instances to greet first, as IP:port; only the IP number is used."
     )
     weight = ConfigItem(
         1.0,
-        "Capacity of this instance for relaying, such as its link in Mbit/s; the "
-        "instance with the highest weight becomes the speaker of its zone.",
+        "How much this instance can carry for others, such as its link in Mbit/s; "
+        "those that can carry most speak for their zone.",
         minimum=0,
     )
     beacon_ms = ConfigItem(
         100.0, "Milliseconds between two beacons to the zone's speaker.", minimum=10
     )
     digest_ms = ConfigItem(
-        100.0, "Milliseconds between two reports of a speaker.", minimum=10
+        100.0, "Milliseconds between two words of a speaker.", minimum=10
     )
     digest_bytes_per_s = ConfigItem(
         5000.0,
-        "Maximum bytes a second that a speaker sends to one member; where digests "
-        "would take more, heartbeats with packed loads are sent between them.",
+        "Most bytes that a speaker sends one member in a second; where digests would "
+        "take more, counts of work come between them.",
         minimum=100,
     )
     zone_bytes_per_s = ConfigItem(
         8000.0,
-        "Maximum bytes a second that a speaker sends to another zone's speaker.",
+        "Most bytes that a speaker sends another zone's speaker in a second.",
         minimum=100,
     )
     heartbeat_ms = ConfigItem(
         200.0,
-        "Milliseconds between two heartbeats of a speaker whose other reports are "
-        "further apart.",
+        "Milliseconds between two heartbeats of a speaker whose words are further "
+        "apart.",
         minimum=10,
     )
     silence_ms = ConfigItem(
-        800.0, "Milliseconds of silence after which a peer counts as lost.", minimum=50
+        800.0, "Milliseconds of silence after which a peer counts as gone.", minimum=50
     )
     stagger_ms = ConfigItem(
         100.0,
-        "Milliseconds that each instance of a zone waits for every instance of higher "
-        "priority to take over from a lost speaker.",
+        "Milliseconds by which each instance of a zone follows the one before it, "
+        "where their speaker is gone.",
         minimum=0,
     )
 
