--- a/packages/buckthornwall/src/buckthornwall/forwarding/attempt.py
+++ b/packages/buckthornwall/src/buckthornwall/forwarding/attempt.py
@@ -140,7 +140,7 @@
                 self.codec.encode(self.request, self._context()),
                 self.request.body,
             )
-            with _limit(self.head_timeout_s):
+            with _timeout(self.head_timeout_s):
                 reply = await self._receive_reply(connection)
             self._record_reply(reply)
             return await self._handle_reply(connection, reply, pending_prefill)
@@ -239,11 +239,11 @@
         return engine.tokens_per_event if engine is not None else 0
 
     async def _next_data(self, connection: ClientConnection) -> bytes:
-        with _limit(self.event_timeout_s):
+        with _timeout(self.event_timeout_s):
             return await connection.receive_data()
 
 
-def _limit(seconds: float | None) -> AbstractContextManager[trio.CancelScope]:
+def _timeout(seconds: float | None) -> AbstractContextManager[trio.CancelScope]:
     """Return a scope that raises TooSlowError after `seconds`; never for None."""
     return trio.fail_after(math.inf if seconds is None else seconds)
 
@@ -279,7 +279,7 @@
 
 
 class _PendingPrefill:
-    """A prompt that counts at an upstream until its first token comes."""
+    """A prompt that counts as pending prefill until its first token arrives."""
 
     def __init__(
         self, view: UpstreamView, rank: int, tokens: int, sent_at: float
--- a/packages/buckthornwall/src/buckthornwall/forwarding/forwarder.py
+++ b/packages/buckthornwall/src/buckthornwall/forwarding/forwarder.py
@@ -214,7 +214,7 @@
                 return refusal
             choice = await self.limit_gate.admit(job)
             if choice is None:
-                return self._no_upstream(job)
+                return self._no_upstream_refusal(job)
             if not job.tried and (refusal := self._overload_refusal(job, choice)):
                 return refusal
             result = await self._attempt(job, choice)
@@ -222,7 +222,7 @@
                 return None
             if not self._may_try_another(job, result):
                 break
-        return self._no_upstream(job)
+        return self._no_upstream_refusal(job)
 
     def _choose(self, job: Job) -> Choice | None:
         now = self.clock.now()
@@ -268,9 +268,8 @@
         self.telemetry.record_placement(
             job, choice, expected_s(self.pools, job.traits, choice)
         )
-        job.runs += (
-            1  # the attempt may be cancelled, and counts as run until known otherwise
-        )
+        # The attempt may be cancelled, and counts as run until known otherwise.
+        job.runs += 1
         sent_at = self.clock.now()
         result = await attempt.run()
         if result.end in (AttemptEnd.NOT_SENT, AttemptEnd.NOT_RUN):
@@ -282,12 +281,12 @@
         self._record_verdict(choice, result)
         ended = await self.crash_guard.record(job, choice, result)
         self.telemetry.record_attempt(job, choice, result, sent_at, ended)
-        self._record_pace(job, choice, sent_at)
+        self._record_first_token(job, choice, sent_at)
         if result.end is not AttemptEnd.DONE:
             job.detail = result.detail
         return result
 
-    def _record_pace(self, job: Job, choice: Choice, sent_at: float) -> None:
+    def _record_first_token(self, job: Job, choice: Choice, sent_at: float) -> None:
         first_sent_at = job.delivery.first_sent_at
         if job.request.prompt is None or first_sent_at is None:
             return
@@ -384,7 +383,7 @@
             verdict = Verdict.FAILED
         self.pools.record_outcome(choice.view, verdict)
 
-    def _no_upstream(self, job: Job) -> Refusal:
+    def _no_upstream_refusal(self, job: Job) -> Refusal:
         refusal = refusal_without_upstream(self.pools, job)
         if refusal.code is ResultCode.UPSTREAMS_LIMITED:
             record_decision(self.pools, job.traits, False, self.clock.now())
--- a/packages/buckthornwall/src/buckthornwall/forwarding/job.py
+++ b/packages/buckthornwall/src/buckthornwall/forwarding/job.py
@@ -16,10 +16,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Prediction:
-    """Expected timing of an attempt that was placed at `at`; in seconds."""
+    """Expected timing of an attempt, in seconds."""
 
-    at: float
-    first_s: float
+    placed_at: float
+    first_token_s: float
     pause_s: float
 
 
--- a/packages/buckthornwall/src/buckthornwall/forwarding/limit_gate.py
+++ b/packages/buckthornwall/src/buckthornwall/forwarding/limit_gate.py
@@ -81,7 +81,7 @@
         """Return the expected wait for a token, in seconds."""
         pool, regions = job.resolution.pool.id, job.resolution.regions
         wait_s = self.pools.limit_wait_s(pool, regions)
-        before = self.pools.limit_queue(pool).count_ahead(job.resolution.rank)
-        if not before:
+        ahead = self.pools.limit_queue(pool).count_ahead(job.resolution.rank)
+        if not ahead:
             return wait_s
-        return wait_s + before * self.pools.limit_interval_s(pool, regions)
+        return wait_s + ahead * self.pools.limit_interval_s(pool, regions)
--- a/packages/buckthornwall/src/buckthornwall/forwarding/request_telemetry.py
+++ b/packages/buckthornwall/src/buckthornwall/forwarding/request_telemetry.py
@@ -29,7 +29,7 @@
     def __init__(self, metrics: RouterMetrics, clock: Clock) -> None:
         self.metrics = metrics
         self.clock = clock
-        # Returns the log fields on the state of this instance, for requests without a
+        # Returns the log fields on the age of the configuration, for requests without a
         # route.
         self.describe_freshness: Callable[[], dict[str, object]] = dict
 
@@ -162,8 +162,8 @@
         """Count the prediction errors of a stream with one attempt."""
         if len(job.tried) != 1 or job.prediction is None:
             return
-        seen_s = job.delivery.first_sent_at - job.prediction.at
-        self.metrics.first_error.add(tier, abs(seen_s - job.prediction.first_s))
+        seen_s = job.delivery.first_sent_at - job.prediction.placed_at
+        self.metrics.first_error.add(tier, abs(seen_s - job.prediction.first_token_s))
         pause_s = job.delivery.longest_pause_s
         self.metrics.pause_error.add(tier, abs(pause_s - job.prediction.pause_s))
 
--- a/packages/buckthornwall/src/buckthornwall/forwarding/tests/helpers.py
+++ b/packages/buckthornwall/src/buckthornwall/forwarding/tests/helpers.py
@@ -30,8 +30,8 @@
     head = b"HTTP/1.1 200 OK\r\nX-Id: r\r\nX-Signed: 1\r\n"
     data = head + b"Transfer-Encoding: chunked\r\n\r\n"
     for number in numbers:
-        part = event(number)
-        data += b"%x\r\n%s\r\n" % (len(part), part)
+        chunk = event(number)
+        data += b"%x\r\n%s\r\n" % (len(chunk), chunk)
     return data + (b"0\r\n\r\n" if end else b"")
 
 
--- a/packages/buckthornwall/src/buckthornwall/forwarding/tests/test_streams.py
+++ b/packages/buckthornwall/src/buckthornwall/forwarding/tests/test_streams.py
@@ -87,9 +87,9 @@
 
 
 async def test_incomplete_event_is_not_forwarded(forward):
-    part = b"5\r\nid: 9\r\n"
+    partial_event = b"5\r\nid: 9\r\n"
     answer = await forward(
-        [stream(1, end=False) + part, b""],
+        [stream(1, end=False) + partial_event, b""],
         [stream(2)],
         response_mode=ResponseMode.EVENT_STREAM,
     )
