--- a/packages/buckthornwall/src/buckthornwall/platform/__init__.py
+++ b/packages/buckthornwall/src/buckthornwall/platform/__init__.py
@@ -1,12 +1,12 @@
-"""The users' platform: the only place that knows its names.
+"""The users' platform: the only package that uses its names.
 
 ============= ============================================================
-`names`       its headers
-`codec`       requests and replies between its headers and the product's types
-`published`   its form of the operator's configuration
-`calls`       the calls of its store, whatever carries them
-`store`       what it publishes for instances behind its balancer
-`client`      what it publishes for instances with the completions interface
+`names`       the names of its headers
+`codec`       converts requests and responses from and to its headers
+`published`   decodes the operator's configuration that it publishes
+`calls`       reads and watches of its store, over any transport
+`store`       store client of instances behind its load balancer
+`client`      store client of instances with the completions interface
 ============= ============================================================
 """
 
--- a/packages/buckthornwall/src/buckthornwall/platform/calls.py
+++ b/packages/buckthornwall/src/buckthornwall/platform/calls.py
@@ -1,4 +1,4 @@
-"""The calls of the platform's store, whatever carries them."""
+"""Reads and watches of the platform's store, over any transport."""
 
 import binascii
 from collections.abc import Awaitable, Callable
@@ -18,23 +18,20 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreAnswer:
-    """An answer of the store."""
+    """A response of the store."""
 
     status: int
     body: bytes
 
 
-# Puts a target to the store; the answer may take the given seconds of a watch
-# besides the usual time. Raises PeerError where none comes.
+# Requests a target (path and query) from the store. The response may take the given
+# seconds of a watch in addition to the usual time. Raises PeerError without one.
 Transport = Callable[[str, float], Awaitable[StoreAnswer]]
 
 
 @dataclass(frozen=True, slots=True)
 class StoredValue:
-    """A key and what was last written there; None if it was removed.
-
-    `revision` is that of the change.
-    """
+    """A key, the revision of its last change, and its value; None if it was removed."""
 
     key: str
     revision: int
@@ -43,14 +40,14 @@
 
 @dataclass(slots=True)
 class Changes:
-    """Values by key order or by change; a watch from `revision` goes on."""
+    """Values in the order of keys or changes; a watch continues from `revision`."""
 
     revision: int
     values: list[StoredValue] = field(default_factory=list)
 
 
 class _Item(msgspec.Struct):
-    """An item or an event; `value` is Base64."""
+    """An item or an event; `value` is in Base64."""
 
     key: str
     revision: int = 0
@@ -59,7 +56,7 @@
 
 
 class _Page(msgspec.Struct):
-    """`truncated` tells that more items follow after the last one."""
+    """A page of items; `truncated` if more of them follow."""
 
     store_revision: int
     items: list[_Item] = []
@@ -72,12 +69,12 @@
 
 
 class StoreCalls:
-    """Reads and watches keys by their prefix.
+    """Reads and watches all keys with a prefix.
 
     Parameters
     ----------
     transport
-        Puts a call to the store.
+        Sends a request to the store.
     """
 
     def __init__(self, transport: Transport) -> None:
@@ -85,15 +82,15 @@
         self.calls = 0
 
     async def read_all(self, prefix: str) -> Changes:
-        """Return all values whose keys begin with `prefix`.
+        """Return the values of all keys that begin with `prefix`.
 
-        Pages are no snapshot; the revision of the first one is returned, so
-        that a watch from there brings what changed meanwhile.
+        The pages are not a consistent snapshot; the revision of the first one is
+        returned, so that a watch from there also returns the changes in the meantime.
 
         Raises
         ------
         PeerError
-            If the store does not answer as it should.
+            If the store does not answer, or not as expected.
         """
         found: Changes | None = None
         after = ""
@@ -112,14 +109,14 @@
         return _decode(await self._call(f"/kv-range?{query}", 0.0), _Page)
 
     async def watch(self, prefix: str, after: int, wait_s: float) -> Changes:
-        """Return what changed after a revision, waiting for it if need be.
+        """Return the changes after a revision, waiting up to `wait_s` for one.
 
         Raises
         ------
         HistoryLost
             If the store no longer holds the changes since `after`.
         PeerError
-            If the store does not answer as it should.
+            If the store does not answer, or not as expected.
         """
         query = f"path_prefix={quote(prefix, safe='')}&after={after}"
         query += f"&wait_ms={int(wait_s * MS_PER_S)}"
--- a/packages/buckthornwall/src/buckthornwall/platform/client.py
+++ b/packages/buckthornwall/src/buckthornwall/platform/client.py
@@ -1,7 +1,7 @@
-"""The records and the list of instances that completions deployments publish.
+"""Records and the list of instances, as completions deployments publish them.
 
-The set of records stands under one key of the platform's store, as it was
-published, and each instance under a key of its own.
+The set of records is stored under one key of the platform's store, as it was
+published, and each instance under its own key.
 """
 
 from enum import Enum
@@ -45,7 +45,7 @@
 
 
 class InstanceKind(Enum):
-    """What a listed instance is."""
+    """The kind of a listed instance."""
 
     ENTRY = "entry"
     ENGINE = "engine"
@@ -53,7 +53,7 @@
 
 
 class ListedInstance(msgspec.Struct):
-    """One line of the platform's list; `address` is where peers dial it."""
+    """An entry of the platform's list; peers connect to `address`."""
 
     id: str
     kind: InstanceKind
@@ -63,14 +63,14 @@
 
 
 class InstanceList(msgspec.Struct):
-    """The platform's list of live and leaving instances, as old as it may be."""
+    """The platform's list of live and leaving instances; it may be out of date."""
 
     number: int
     instances: list[ListedInstance]
 
 
 class _WatchedPrefix:
-    """What one prefix of the store holds, read whole once and watched then."""
+    """The values under one prefix, read in full once and watched from then on."""
 
     def __init__(self, calls: StoreCalls, prefix: str) -> None:
         self.calls = calls
@@ -79,12 +79,12 @@
         self.values: dict[str, bytes] = {}
 
     async def update(self, wait_s: float) -> bool:
-        """Take what is new; tell whether anything was.
+        """Apply changes, and return whether there were any.
 
         Raises
         ------
         PeerError
-            If the store does not answer as it should.
+            If the store does not answer, or not as expected.
         """
         if self.revision is not None:
             try:
@@ -116,7 +116,7 @@
     settings
         The ``[platform]`` section.
     pool
-        Connections to use.
+        The connections to the store.
     """
 
     def __init__(
@@ -129,12 +129,12 @@
         self._instances = _WatchedPrefix(calls, INSTANCES_PREFIX)
 
     async def watch_records(self, wait_s: float) -> bytes | None:
-        """Return the set of records if it was published anew, else None.
+        """Return the set of records if it was published again, else None.
 
         Raises
         ------
         PeerError
-            If the store does not answer as it should.
+            If the store does not answer, or not as expected.
         """
         if not await self._records.update(wait_s):
             return None
@@ -146,7 +146,7 @@
         Raises
         ------
         PeerError
-            If the store does not answer as it should.
+            If the store does not answer, or not as expected.
         """
         if not await self._instances.update(wait_s):
             return None
--- a/packages/buckthornwall/src/buckthornwall/platform/codec.py
+++ b/packages/buckthornwall/src/buckthornwall/platform/codec.py
@@ -1,4 +1,4 @@
-"""Requests and replies between the platform's headers and the product's types."""
+"""Converts requests and responses from and to the platform's headers."""
 
 import math
 
@@ -22,12 +22,12 @@
 
 
 def decode_request(incoming: IncomingRequest) -> RoutedRequest:
-    """Return a caller's request in the product's words.
+    """Return a caller's request as the type of this project.
 
     Raises
     ------
     Refusal
-        MALFORMED_BODY if a header that decides something is not valid.
+        MALFORMED_BODY if a header that the router relies on is not valid.
     """
     found = dict(incoming.headers)
     request_id = found.get(names.REQUEST_ID, b"")
@@ -64,7 +64,7 @@
 
 
 def _forwarded_headers(headers: Headers) -> Headers:
-    """Return the headers that concern the upstream as the caller sent them."""
+    """Return the caller's headers that are forwarded to the upstream unchanged."""
     dropped = names.HOP_BY_HOP | names.ROUTER_ONLY | _named_by_connection(headers)
     return [(name, value) for name, value in headers if name not in dropped]
 
@@ -104,10 +104,10 @@
 
 
 class PlatformCodec:
-    """The headers that upstreams are sent, and those that they reply with."""
+    """Encodes the headers of requests to upstreams, and decodes their responses."""
 
     def encode(self, request: RoutedRequest, context: AttemptContext) -> Headers:
-        """Return the headers of one attempt."""
+        """Return the request headers of one attempt."""
         headers = list(request.headers)
         remaining_ms = max(1, int(context.remaining_s * MS_PER_S))
         headers.append((names.DEADLINE, b"%d" % remaining_ms))
@@ -128,7 +128,7 @@
         return headers
 
     def decode(self, head: ReplyHead) -> Reply:
-        """Return an upstream's reply in the product's words."""
+        """Return an upstream's response as the type of this project."""
         found = dict(head.headers)
         misdirected = head.status == HTTP_MISDIRECTED
         return Reply(
@@ -155,14 +155,14 @@
     try:
         running, waiting, slots = (int(part) for part in value.split(b","))
     except ValueError:
-        return None  # a hint only; the counts of this instance stand
+        return None  # only a hint; the counts of this instance apply
     return LoadReport(running, waiting, slots)
 
 
 def _rate_limit(value: bytes | None) -> float | None:
-    """Return the limit that an upstream names, infinite without one.
+    """Return the rate limit of an upstream, infinite if the header is missing.
 
-    None stands for one that cannot be read: it neither sets nor ends a limit.
+    None stands for an invalid value, which neither sets nor ends a limit.
     """
     if value is None:
         return math.inf
--- a/packages/buckthornwall/src/buckthornwall/platform/names.py
+++ b/packages/buckthornwall/src/buckthornwall/platform/names.py
@@ -1,33 +1,33 @@
-"""Names of the platform's headers, in lower case as they are read."""
+"""Names of the platform's headers, in lower case as the HTTP parser returns them."""
 
 PREFIX = b"x-buckthornwall-"
 
 REQUEST_ID = PREFIX + b"attempt-id"
-# Milliseconds that the caller waits, or that an upstream may work.
+# Milliseconds that the caller waits, or that an upstream may take.
 DEADLINE = PREFIX + b"deadline-ms"
-# The bare key of a team, not a scheme and credentials.
+# The API key of a team, without a scheme.
 KEY = PREFIX + b"key"
 TEAM = PREFIX + b"tenant"
 EXPECT_INSTANCE = PREFIX + b"expect-instance"
-# Prompt tokens and the most output tokens, separated by a comma.
+# Prompt tokens and maximum output tokens, separated by a comma.
 TOKEN_COUNT = PREFIX + b"token-count"
 # ID:TOKENS of each prompt segment in order; the last belongs to the request alone.
 PROMPT_SEGMENTS = PREFIX + b"prompt-prefix"
 MODEL = PREFIX + b"model"
-# 0 is first, 9 last.
+# From 0, the most urgent, to 9.
 PRIORITY = PREFIX + b"request-priority"
 SIGNATURE = PREFIX + b"response-seal"
 NOT_RUN = PREFIX + b"not-executed"
-# Running, waiting and slots, separated by commas.
+# Running requests, waiting requests and slots, separated by commas.
 LOAD = PREFIX + b"engine-load"
 INSTANCE = PREFIX + b"instance-id"
-# Requests a second, a decimal number, that an upstream takes from all instances.
+# Requests per second, a decimal number, that an upstream accepts from all instances.
 RATE_LIMIT = b"server-limit"
 LAST_EVENT_ID = b"last-event-id"
 # IP:port of an engine from which the missing prompt segments are copied.
 COPY_FROM = b"kv-fetch"
 
-# What only the system may ask of an upstream; a caller's are dropped.
+# Headers that only the router may send to an upstream; those of callers are dropped.
 ROUTER_ONLY = frozenset(
     {
         TEAM,
@@ -45,7 +45,7 @@
     }
 )
 
-# Headers that concern one connection only (RFC 9110, section 7.6.1).
+# Hop-by-hop headers, for a single connection only (RFC 9110, section 7.6.1).
 HOP_BY_HOP = frozenset(
     {
         b"connection",
--- a/packages/buckthornwall/src/buckthornwall/platform/published.py
+++ b/packages/buckthornwall/src/buckthornwall/platform/published.py
@@ -1,4 +1,4 @@
-"""The operator's configuration, from the platform's form to the product's."""
+"""Decodes the operator's configuration that the platform publishes."""
 
 from typing import Annotated
 
@@ -23,7 +23,7 @@
 MS_PER_S = 1000.0
 DEFAULT_TIMEOUT_MS = 30_000.0
 DEFAULT_TARGET_LATENCY_MS = 1_000.0
-# What the platform calls the kinds of a route.
+# Kinds of a route, as the platform names them.
 IDEMPOTENT = "idempotent"
 STREAM = "stream"
 
@@ -34,7 +34,7 @@
 
 
 class _Route(msgspec.Struct):
-    """A route; `priority` 0 is the most urgent, `public` needs no key."""
+    """A route; `priority` 0 is the most urgent, `public` routes need no API key."""
 
     name: str
     host: str
@@ -53,7 +53,7 @@
 
 
 class _Engine(msgspec.Struct):
-    """`kv_capacity` counts tokens; `stride` is tokens in an event."""
+    """An engine; `kv_capacity` is in tokens, `stride` in tokens per event."""
 
     slots: int = 1
     kv_capacity: int = 0
@@ -92,12 +92,12 @@
 
 
 def decode_published(value: bytes) -> PublishedConfig:
-    """Return one whole version of the configuration.
+    """Return a complete version of the configuration.
 
     Raises
     ------
     RecordError
-        RECORDS_MALFORMED if it is not what the platform publishes.
+        RECORDS_MALFORMED if the value does not match the platform's schema.
     """
     try:
         config = msgspec.json.decode(value, type=_Config)
--- a/packages/buckthornwall/src/buckthornwall/platform/store.py
+++ b/packages/buckthornwall/src/buckthornwall/platform/store.py
@@ -1,4 +1,4 @@
-"""The platform's store, which is only read and watched."""
+"""Client of the platform's store, which is only read and watched."""
 
 from enum import Enum
 from typing import Annotated
@@ -21,10 +21,10 @@
 CONFIG_KEY = "op/config"
 REGISTRATIONS = "servers/"
 EVACUATIONS = "op/evacuate/"
-# One watch on everything costs half the calls of one for each of the two.
+# One watch of all keys takes half as many calls as one for each of the two prefixes.
 ALL_KEYS = ""
 MS_PER_S = 1000.0
-# An IP number of version 4 and a port that can be dialled.
+# An IPv4 address and a port other than 0.
 ADDRESS = r"^\d{1,3}(\.\d{1,3}){3}:[1-9]\d{0,4}$"
 
 
@@ -43,16 +43,16 @@
 
 
 class _EngineState(Enum):
-    """What an engine says of itself."""
+    """State that an engine registers."""
 
     READY = "ready"
     DRAINING = "draining"
 
 
 class _Registration(msgspec.Struct):
-    """How an engine registers itself; `sequence` only counts its writes.
+    """An engine's registration; its field `sequence`, a count of writes, is ignored.
 
-    `born` changes where an engine starts again under the id that it had.
+    `born` changes when an engine restarts under the same id.
     """
 
     service: str
@@ -66,7 +66,7 @@
 
 
 class StoreClient(UpdateSource):
-    """Reads and watches over one connection that is kept.
+    """Reads and watches the store over one persistent connection.
 
     Parameters
     ----------
@@ -81,34 +81,34 @@
 
     @property
     def calls(self) -> int:
-        """Calls made so far."""
+        """The number of calls made so far."""
         return self.store.calls
 
     def drop_connection(self) -> None:
-        """Let the next call open a new connection."""
+        """Close the connection; the next call opens a new one."""
         connection, self._connection = self._connection, None
         if connection is not None:
             connection.close()
 
     async def read_all(self) -> StoreUpdate:
-        """Return all that is published now.
+        """Return a snapshot of all that is published.
 
         Raises
         ------
         PeerError
-            If the store does not answer as it should.
+            If the store does not answer, or not as expected.
         """
         return to_store_update(await self.store.read_all(ALL_KEYS), is_snapshot=True)
 
     async def watch(self, after: int, wait_s: float) -> StoreUpdate:
-        """Return what changed after a revision, waiting for it if need be.
+        """Return the changes after a revision, waiting up to `wait_s` for one.
 
         Raises
         ------
         HistoryLost
             If the store no longer holds the changes since `after`.
         PeerError
-            If the store does not answer as it should.
+            If the store does not answer, or not as expected.
         """
         return to_store_update(
             await self.store.watch(ALL_KEYS, after, wait_s), is_snapshot=False
@@ -156,7 +156,7 @@
 def to_store_update(changes: Changes, is_snapshot: bool) -> StoreUpdate:
     """Return values of the store as an update.
 
-    A registration that cannot be read names nobody; the others hold.
+    An invalid registration counts as removed; the others apply.
     """
     update = StoreUpdate(revision=changes.revision, is_snapshot=is_snapshot)
     for each in changes.values:
@@ -165,7 +165,7 @@
 
 
 def _add_change(update: StoreUpdate, change: StoredValue) -> None:
-    """Put one value into the product's words."""
+    """Add one change of a key to an update."""
     update.change_revision = max(update.change_revision, change.revision)
     if change.key == CONFIG_KEY:
         update.published = change.value or update.published
@@ -183,7 +183,7 @@
 
 
 def _add_zone(update: StoreUpdate, zone: ZoneId, change: StoredValue) -> None:
-    """Add the record of a zone's evacuation, or that there is none any longer."""
+    """Add the record of a zone's evacuation, or its removal."""
     if change.value is None:
         update.evacuated.pop(zone, None)
         update.unreadable_zones.discard(zone)
@@ -207,7 +207,7 @@
 
 
 def _entry_or_none(upstream: UpstreamId, raw: bytes | None) -> UpstreamEntry | None:
-    """Return a registration, or None where it was removed or cannot be read."""
+    """Return a registration, or None if it was removed or is invalid."""
     if raw is None:
         return None
     try:
--- a/packages/buckthornwall/src/buckthornwall/router/__init__.py
+++ b/packages/buckthornwall/src/buckthornwall/router/__init__.py
@@ -1,10 +1,13 @@
-"""The assembly that runs behind the platform's balancer.
+"""An instance that runs behind the platform's load balancer.
 
-============= ============================================================
-`core`        the parts of one instance, and the messages between them
-`stopping`    the steps of a planned stop
-`main`        signals, the settings file and its changes
-============= ============================================================
+=================== ======================================================
+`core`              the components of one instance, and how they are connected
+`state_sync`        when the store is read, and when a peer's view is fetched
+`staleness_monitor` log lines when the speaker's digest is overdue
+`operators`         metrics and status for operators
+`stopping`          the steps of a planned stop
+`main`              signals, the settings file and its changes
+=================== ======================================================
 """
 
 from .core import Router
--- a/packages/buckthornwall/src/buckthornwall/router/core.py
+++ b/packages/buckthornwall/src/buckthornwall/router/core.py
@@ -1,4 +1,4 @@
-"""The parts of one instance behind the platform's balancer."""
+"""The components of one instance behind the platform's load balancer."""
 
 import trio
 
@@ -45,28 +45,27 @@
 __all__ = ["Router"]
 
 HOUSEKEEPING_INTERVAL_S = 0.5
-# How often a line tells what is believed of the engines' speed.
+# Interval between log lines on the estimated speed of engines.
 SPEED_LOG_INTERVAL_S = 5.0
-# A request that comes before the first version of the configuration waits for it this
-# long, in seconds, and is then refused as not run: that version is read sooner than a
-# refused caller would come back.
+# A request that arrives before the first configuration waits for it this long, and is
+# then refused as not run: it is read sooner than a refused caller would retry.
 MAX_FIRST_CONFIG_WAIT_S = 0.25
-# An instance that starts holds requests until a peer has told it which ones crash
-# upstreams, for so many seconds at most.
+# A starting instance holds requests until a peer has reported which ones crash
+# upstreams, but no longer than this.
 MAX_CRASH_SYNC_WAIT_S = 0.5
 CRASH_SYNC_POLL_S = 0.01
 OPERATOR_LIMITS = ServerLimits(8192, 0, 3.0, 30.0)
 
 
 class Router:
-    """Everything that one instance runs.
+    """All components of one instance.
 
     Parameters
     ----------
     settings
         The checked settings file.
     clock
-        Source of time, the one that trio runs on.
+        Source of time; trio runs on the same one.
     """
 
     def __init__(self, settings: RouterSettings, clock: Clock) -> None:
@@ -138,9 +137,9 @@
         return cls(settings, TrioClock())
 
     def apply(self, settings: RouterSettings) -> None:
-        """Take the settings that may change while running.
+        """Apply the settings that may change while running.
 
-        Addresses of listeners stay as they are until the next start.
+        Addresses of listeners only change at the next start.
         """
         self.settings.peers.seeds = settings.peers.seeds
         self.settings.stop = settings.stop
@@ -150,7 +149,7 @@
     # Tasks
 
     async def run(self) -> None:
-        """Run until `stopping` is set, then stop without cutting anything off."""
+        """Run until `stopping` is set, then stop gracefully."""
         edge = self.settings.edge
         async with trio.open_nursery() as nursery:
             await nursery.start(self.balancer.run, edge.ready)
@@ -188,10 +187,10 @@
         self.fleet_memory.record(live, now)
         self.pools.rate_limits.update_shares(live, self.fleet_memory.recent(live, now))
 
-    # Messages
+    # Messages between instances
 
     def fleet(self) -> Digest:
-        """Return what is known of all instances together."""
+        """Return the digest of the whole fleet, including this instance."""
         return self.peers.fleet_digest(self._make_beacon(), self.clock.now())
 
     def _make_beacon(self) -> Beacon:
@@ -269,7 +268,7 @@
         await self.forwarder.forward(request, answer)
 
     async def _wait_for_crash_sync(self) -> None:
-        """Wait until this instance knows what others refuse, if it has just started."""
+        """Wait for the crash reports of peers if this instance has just started."""
         until = self.ready_at + MAX_CRASH_SYNC_WAIT_S
         while (
             not self.peer_agent.crash_exchange.was_in_sync and self.clock.now() < until
--- a/packages/buckthornwall/src/buckthornwall/router/main.py
+++ b/packages/buckthornwall/src/buckthornwall/router/main.py
@@ -18,7 +18,7 @@
 
 STOP_SIGNALS = (signal.SIGTERM, signal.SIGINT)
 RELOAD_SIGNAL = signal.SIGHUP
-# The file may change without a signal; one look costs a system call.
+# The file may change without a signal; checking it costs one system call.
 FILE_POLL_S = 2.0
 
 
@@ -32,9 +32,9 @@
     settings
         Checked settings.
     path
-        The file they came from, read again when it changes.
+        The file that they were read from; it is read again when it changes.
     early_listeners
-        Listeners that are open already.
+        Listeners that are already open.
     """
     clock = SuspensionClock()
     clock.on_resume = _log_resumed
@@ -80,12 +80,12 @@
     try:
         found = path.stat()
     except OSError:
-        return None  # the file is being replaced; it is looked at again
+        return None  # the file is being replaced; the next check finds it
     return found.st_mtime_ns, found.st_size
 
 
 def reload_settings(router: Router, path: Path, cause: str) -> None:
-    """Take what may change while running; a bad file changes nothing."""
+    """Apply the settings that may change while running; ignore an invalid file."""
     try:
         settings = RouterSettings.from_file(path)
     except SettingsError as error:
--- a/packages/buckthornwall/src/buckthornwall/router/operators.py
+++ b/packages/buckthornwall/src/buckthornwall/router/operators.py
@@ -1,4 +1,4 @@
-"""What an operator may ask of one instance: metrics and status."""
+"""Metrics and status of one instance, for operators."""
 
 import json
 import math
@@ -133,7 +133,7 @@
 
 
 def _describe_quarantine(router: "Router", now: float) -> dict[str, Any]:
-    """Return the requests that are refused since they crash upstreams, some of them."""
+    """Return the requests that are refused for crashing upstreams, the first 50."""
     refused = list(router.quarantine.refused().items())
     return {
         "suspected": len(router.quarantine.records),
--- a/packages/buckthornwall/src/buckthornwall/router/staleness_monitor.py
+++ b/packages/buckthornwall/src/buckthornwall/router/staleness_monitor.py
@@ -1,4 +1,4 @@
-"""Whether the word that an instance goes by is fresh, for the log."""
+"""Log lines when the digest that an instance relies on is overdue."""
 
 from buckthornwall.peers import PeerTable
 from buckthornwall.routing import RoutingTable
@@ -6,19 +6,19 @@
 
 __all__ = ["StalenessMonitor"]
 
-# A speaker's word is never this old, in seconds, unless something is wrong.
+# A speaker's digest only gets older than this if something is wrong.
 MAX_STALENESS_S = 1.0
 
 
 class StalenessMonitor:
-    """Logs when the speaker that an instance goes by tells nothing, and again does.
+    """Logs when the digests of this instance's speaker stop, and when they resume.
 
     Parameters
     ----------
     peers
-        Who speaks, and when it last did.
+        The speaker, and the age of its last digest.
     table
-        The version in force here.
+        Holds the number of the configuration in force.
     """
 
     def __init__(self, peers: PeerTable, table: RoutingTable) -> None:
@@ -27,7 +27,7 @@
         self.stale_since: float | None = None
 
     def check(self, now: float) -> None:
-        """Take the time in seconds; a line a change, not one a look."""
+        """Log a line if the state has changed at `now`, in seconds."""
         age_s = self.peers.staleness_s(now)
         if age_s > MAX_STALENESS_S and self.stale_since is None:
             self.stale_since = now - age_s
--- a/packages/buckthornwall/src/buckthornwall/router/state_sync.py
+++ b/packages/buckthornwall/src/buckthornwall/router/state_sync.py
@@ -1,4 +1,4 @@
-"""Who reads the store, and what is taken from a peer instead."""
+"""When an instance reads the store, and when it fetches a peer's view instead."""
 
 import random
 from collections.abc import Callable
@@ -15,39 +15,39 @@
 __all__ = ["StateSync"]
 
 MS_PER_S = 1000.0
-# How often it is looked whether a peer has newer news.
+# Interval between checks whether a peer has newer state.
 POLL_INTERVAL_S = 0.1
-# An instance that reads the store itself asks a peer only when its local watch
-# should long have brought the news.
+# An instance that reads the store itself fetches a peer's view only if its own watch
+# should have returned the changes long before.
 MAX_READER_LAG_S = 0.8
-# When the store has answered nobody for this long, everyone reads; each
-# instance waits a part of a second longer, by its local draw.
+# If the store has answered no instance for this long, all instances read it. Each one
+# waits for an additional random time of up to the jitter.
 MAX_READ_AGE_MS = 3000
 READ_AGE_JITTER_MS = 1000
-# Who has heard nothing for this long from the speaker that it goes by reads, whoever
-# speaks: a change has to be in force everywhere 2 s after it was acknowledged.
+# An instance that has had no digest from its speaker for this long reads the store,
+# whichever instance is the speaker: a change must be in force everywhere 2 s after it
+# was acknowledged.
 MAX_DIGEST_AGE_S = 1.5
-# Between two views an instance waits so many times as long as the first one took, and
-# this many seconds at most: large views, asked for as often as there is news, would
-# fill slow links and hold callers up.
+# The pause after fetching a view, as a multiple of the time that it took: large views,
+# fetched at each change, would saturate slow links and delay callers' responses.
 VIEW_PAUSE_RATIO = 4.0
 MAX_VIEW_PAUSE_S = 0.8
 NEVER_READ_MS = 1_000_000_000
 
 
 class StateSync:
-    """Decides who reads, and takes from peers what this instance does not read.
+    """Decides whether to read the store, and fetches peers' views otherwise.
 
     Parameters
     ----------
     discovery
-        What is in force here, and since when.
+        The state in force here, and when it was read.
     peers
-        Who speaks, and what is newest anywhere.
+        The speaker, and the newest state of any instance.
     make_beacon
-        Returns what this instance says of itself.
+        Returns this instance's beacon.
     views
-        Asks a peer for what is in force there.
+        Fetches the state in force at a peer.
     clock
         Source of time.
     """
@@ -70,10 +70,10 @@
         self._view_failed = False
 
     def may_read(self) -> bool:
-        """Tell whether this instance reads the store itself.
+        """Return whether this instance reads the store itself.
 
-        One in each zone does, and tells its zone: a watch of every instance would be
-        most of the calls to the store.
+        The speaker of each zone (its elected leader) does, and reports to its zone:
+        watches by every instance would be most of the calls to the store.
         """
         now = self.clock.now()
         if self.peers.is_speaker(now) or self._view_failed:
@@ -83,7 +83,7 @@
         return read_age_ms > self.max_read_age_ms or staleness_s > MAX_DIGEST_AGE_S
 
     async def run(self) -> None:
-        """Look for news at peers until cancelled."""
+        """Fetch newer state from peers until cancelled."""
         while True:
             await trio.sleep(POLL_INTERVAL_S)
             fleet = self._fleet()
@@ -94,7 +94,7 @@
                 await trio.sleep(view_pause_s(self.clock.now() - started))
 
     def should_fetch_view(self, fleet: Digest) -> bool:
-        """Tell whether a peer is to be asked for what is newer there."""
+        """Return whether to fetch the newer view of a peer."""
         local = (self.discovery.table.number, self.discovery.change_revision)
         if (fleet.number, fleet.change_revision) <= local:
             self._stale_since = None
@@ -110,7 +110,7 @@
         return self.peers.fleet_digest(self.make_beacon(), self.clock.now())
 
     async def fetch_view(self, peer: str) -> None:
-        """Put in force what the best informed peer has."""
+        """Fetch and apply a peer's view; read the store if that fails."""
         if peer == self.peers.address:
             return
         try:
@@ -132,7 +132,7 @@
         )
 
     def view(self) -> PeerView:
-        """Return what is in force here, for a peer that asks."""
+        """Return the state in force here, for a peer that requests it."""
         discovery = self.discovery
         now = self.clock.now()
         entries = [
@@ -148,12 +148,12 @@
         )
 
     def read_age_ms(self) -> int:
-        """Return how long ago the store last answered here."""
+        """Return the time since the store last answered here, or NEVER_READ_MS."""
         age_ms = (self.clock.now() - self.discovery.read_at) * MS_PER_S
         return int(min(age_ms, NEVER_READ_MS))
 
     def describe_freshness(self) -> dict[str, object]:
-        """Return which version is in force, and how old the word it rests on is."""
+        """Return the version in force, and the ages of its digest and last read."""
         staleness_s = self.peers.staleness_s(self.clock.now())
         return {
             "number": self.discovery.table.number,
@@ -163,5 +163,5 @@
 
 
 def view_pause_s(took_s: float) -> float:
-    """Return how long to wait after a view that took so many seconds."""
+    """Return the pause after fetching a view that took `took_s`."""
     return min(VIEW_PAUSE_RATIO * took_s, MAX_VIEW_PAUSE_S)
--- a/packages/buckthornwall/src/buckthornwall/router/stopping.py
+++ b/packages/buckthornwall/src/buckthornwall/router/stopping.py
@@ -12,18 +12,18 @@
 
 __all__ = ["stop_gracefully"]
 
-# What is left of the grace when the last answers are cut off.
+# The last responses are cut off this long before the grace period ends.
 CUTOFF_MARGIN_S = 0.6
 POLL_S = 0.05
 
 
 async def stop_gracefully(router: "Router") -> None:
-    """Announce, answer on until the balancer has noticed, and leave when idle.
+    """Announce the stop, serve until the balancer has noticed, and end when idle.
 
     Parameters
     ----------
     router
-        The instance that was asked to stop.
+        The instance to stop.
     """
     started = router.clock.now()
     stop = router.settings.stop
--- a/packages/buckthornwall/src/buckthornwall/router/tests/test_main.py
+++ b/packages/buckthornwall/src/buckthornwall/router/tests/test_main.py
@@ -1,4 +1,4 @@
-"""Tests of what happens when the settings file changes."""
+"""Tests of changes of the settings file and of early signals."""
 
 import os
 import signal
@@ -33,7 +33,7 @@
     return path
 
 
-async def test_seeds_and_grace_are_taken_while_running(path):
+async def test_seeds_and_grace_are_reloaded_while_running(path):
     router = Router.from_config(RouterSettings.from_file(path))
     path.write_text(TEXT.replace("127.0.0.2:9", "127.0.0.3:9") + "[stop]\ngrace_s=5\n")
     reload_settings(router, path, "signal")
@@ -42,7 +42,7 @@
 
 
 @pytest.mark.parametrize("text", ["", "[node", TEXT + "[unknown]\n"])
-async def test_a_bad_file_changes_nothing(path, text):
+async def test_invalid_file_changes_nothing(path, text):
     router = Router.from_config(RouterSettings.from_file(path))
     path.write_text(text)
     reload_settings(router, path, "file")
@@ -51,15 +51,15 @@
 
 @pytest.fixture
 def handlers():
-    """Put the process's own signal handlers back after a test."""
+    """Restore the signal handlers of the process after a test."""
     before = {number: signal.getsignal(number) for number in daemon.STOP_SIGNALS}
     yield
     for number, handler in before.items():
         signal.signal(number, handler)
 
 
-def test_a_stop_before_the_start_ends_well(handlers, monkeypatch, path):
-    """Without a handler the signal ended the process with status -15."""
+def test_stop_signal_before_the_start_exits_with_status_0(handlers, monkeypatch, path):
+    """Without a handler the signal ends the process with status -15."""
 
     def run(settings_path, early):
         os.kill(os.getpid(), signal.SIGTERM)
--- a/packages/buckthornwall/src/buckthornwall/router/tests/test_staleness_monitor.py
+++ b/packages/buckthornwall/src/buckthornwall/router/tests/test_staleness_monitor.py
@@ -1,4 +1,4 @@
-"""Tests of the lines on news that an instance goes by and that grow old."""
+"""Tests of the log lines when a speaker's digest is overdue."""
 
 import pytest
 from loguru import logger
@@ -17,7 +17,7 @@
     logger.remove(sink)
 
 
-def test_old_word_is_said_once_and_so_is_its_end(lines, monkeypatch):
+def test_overdue_digest_and_its_end_are_logged_once_each(lines, monkeypatch):
     peers = PeerTable("10.0.0.1:7340", 1.0, ZoneId("z"), 0.8, 0.1)
     ages = iter([0.4, 1.5, 2.0, 0.2, 0.3])
     monkeypatch.setattr(peers, "staleness_s", lambda now: next(ages))
--- a/packages/buckthornwall/src/buckthornwall/router/tests/test_state_sync.py
+++ b/packages/buckthornwall/src/buckthornwall/router/tests/test_state_sync.py
@@ -1,4 +1,4 @@
-"""Tests of who reads the store, and when a peer is asked."""
+"""Tests of when an instance reads the store, and when it fetches a peer's view."""
 
 import pytest
 
@@ -38,7 +38,7 @@
 
 @pytest.fixture
 def sync(clock):
-    """Return a member with version 1 whose speaker, far above it, has just spoken."""
+    """Return a member with version 1 that has just received its speaker's digest."""
     discovery = DiscoveryAgent(
         DiscoverySettings(), None, decode, RoutingTable(), PoolTable(clock), clock
     )
@@ -47,23 +47,23 @@
     )
     peers = PeerTable(LOCAL, 1.0, ZONE, 0.8, 0.1)
     sync = StateSync(discovery, peers, lambda: beacon(LOCAL), ViewClient(), clock)
-    hear(sync, clock)
+    receive_digest(sync, clock)
     return sync
 
 
-def hear(sync, clock, number=1, read_age_ms=100) -> None:
+def receive_digest(sync, clock, number=1, read_age_ms=100) -> None:
     speaker = PeerTable(OTHER, 9.0, ZONE, 0.8, 0.1)
-    own = beacon(OTHER, number, read_age_ms)
-    digest = speaker.make_digest(own, True, clock.now())
+    local = beacon(OTHER, number, read_age_ms)
+    digest = speaker.make_digest(local, True, clock.now())
     sync.peers.receive_digest(digest, clock.now())
 
 
-def test_a_member_that_is_told_does_not_read(sync):
+def test_member_with_a_recent_digest_does_not_read(sync):
     assert not sync.may_read()
 
 
-def test_who_hears_nothing_reads_whoever_speaks(sync, clock, monkeypatch):
-    """Held as a member by a speaker that told nothing, one kept a version for 5 s."""
+def test_instance_without_digests_reads_the_store(sync, clock, monkeypatch):
+    """A speaker that sent no digests left a member with an old version for 5 s."""
     monkeypatch.setattr(sync.peers, "is_speaker", lambda now: False)
     clock.time += MAX_DIGEST_AGE_S - 0.1
     assert not sync.may_read()
@@ -71,17 +71,17 @@
     assert sync.may_read()
 
 
-def test_everyone_reads_when_the_store_has_answered_nobody(sync, clock):
-    hear(sync, clock, read_age_ms=int(sync.max_read_age_ms) - 300)
+def test_all_instances_read_when_the_store_has_answered_none(sync, clock):
+    receive_digest(sync, clock, read_age_ms=int(sync.max_read_age_ms) - 300)
     assert not sync.may_read()
     clock.time += 0.5
     assert sync.may_read()
 
 
-def test_a_member_asks_at_once_and_a_reader_only_when_its_watch_is_late(
+def test_member_fetches_a_view_at_once_and_a_reader_only_if_its_watch_is_late(
     sync, clock, monkeypatch
 ):
-    hear(sync, clock, number=2)
+    receive_digest(sync, clock, number=2)
     fleet = sync.peers.fleet_digest(beacon(LOCAL), clock.now())
     assert sync.should_fetch_view(fleet)
     monkeypatch.setattr(sync, "may_read", lambda: True)
@@ -94,9 +94,9 @@
     assert not sync.should_fetch_view(fleet)
 
 
-async def test_what_no_peer_hands_over_is_read(sync, clock):
-    """Named as best informed, an instance that had died was asked again and again."""
-    hear(sync, clock, number=2)
+async def test_store_is_read_when_no_peer_returns_its_view(sync, clock):
+    """A dead peer that had the newest state would be requested again and again."""
+    receive_digest(sync, clock, number=2)
     fleet = sync.peers.fleet_digest(beacon(LOCAL), clock.now())
     assert sync.should_fetch_view(fleet)
     assert not sync.may_read()
@@ -112,13 +112,13 @@
 @pytest.mark.parametrize(
     ("took_s", "pause_s"), [(0.003, 0.012), (0.1, 0.4), (0.25, 0.8), (1.0, 0.8)]
 )
-def test_views_that_take_long_are_asked_for_less_often(took_s, pause_s):
-    """They take the link from the callers' answers: 150 KB over 5 Mbit/s, 0.25 s."""
+def test_slow_views_are_fetched_less_often(took_s, pause_s):
+    """They delay callers' responses on the link: 150 KB over 5 Mbit/s take 0.25 s."""
     assert view_pause_s(took_s) == pytest.approx(pause_s)
 
 
-def test_a_view_tells_for_how_much_longer_an_upstream_is_cold(sync, clock):
-    """Told as it was read, it began anew with each view that was taken."""
+def test_view_gives_the_remaining_cold_time_of_an_upstream(sync, clock):
+    """Sent as it was read, the cold time began anew with each view that was fetched."""
     sync.discovery.pools.adopt(COLD)
     clock.time += 2.0
     assert [entry.cold_s for entry in sync.view().entries] == [1.0]
