--- a/packages/buckthornwall/src/buckthornwall/pools/rate_limit.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/rate_limit.py
@@ -42,16 +42,18 @@
 LimitReports = dict[UpstreamId, LimitReport]
 
 
-def merge_limit_reports(parts: Iterable[tuple[LimitReports, float]]) -> LimitReports:
+def merge_limit_reports(
+    timed_reports: Iterable[tuple[LimitReports, float]],
+) -> LimitReports:
     """Return the newest report on each upstream.
 
     Parameters
     ----------
-    parts
+    timed_reports
         Reports, and how many seconds ago each set of them was sent.
     """
     newest: LimitReports = {}
-    for reports, sent_s_ago in parts:
+    for reports, sent_s_ago in timed_reports:
         sent_ms_ago = math.ceil(sent_s_ago * MS_PER_S)
         for upstream, report in reports.items():
             age_ms = report.age_ms + sent_ms_ago
--- a/packages/buckthornwall/src/buckthornwall/pools/tests/test_cold.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/tests/test_cold.py
@@ -1,4 +1,4 @@
-"""Tests of what is sent to upstreams that are cold."""
+"""Tests of the rate limits of cold upstreams."""
 
 from dataclasses import replace
 
@@ -29,7 +29,7 @@
 
 @pytest.fixture
 def pools(clock):
-    """Return a warm and a cold upstream; this instance has a part in the cold one."""
+    """Return a warm and a cold upstream, in which this instance may get a share."""
     pools = PoolTable(clock)
     pool = replace(traits(prompt()).resolution.pool, cold_s=3.0, cold_per_s=PER_S)
     pools.set_contracts([pool], [])
@@ -38,8 +38,8 @@
     return pools
 
 
-def sent_to_cold(pools, clock, seconds):
-    """Send to the cold upstream whenever it is allowed; return how often it was."""
+def count_sent_to_cold(pools, clock, seconds):
+    """Send to the cold upstream whenever allowed; return the number of requests."""
     count, limit = 0, pools.views["cold"].rate_limit
     for _ in range(int(seconds / 0.01)):
         clock.time += 0.01
@@ -53,41 +53,41 @@
     return {view.id for view in pools.usable(POOL, frozenset())}
 
 
-def test_who_has_no_part_sends_nothing_to_a_cold_upstream(pools):
+def test_instance_without_share_sends_nothing_to_cold_upstream(pools):
     assert usable(pools) == {"warm"}
 
 
-def test_who_has_a_part_sends_no_more_than_it(pools, clock):
+def test_instance_sends_no_more_than_its_share(pools, clock):
     pools.rate_limits.update_shares(ALONE, ALONE)
-    assert 0.8 * PER_S * 2 <= sent_to_cold(pools, clock, 2.0) <= PER_S * 2
+    assert 0.8 * PER_S * 2 <= count_sent_to_cold(pools, clock, 2.0) <= PER_S * 2
 
 
-def test_a_part_begins_before_a_whole_token_has_come(pools, clock):
-    """Of 3 s that an upstream is cold nobody used the first one."""
+def test_first_token_lets_share_start_early(pools, clock):
+    """Otherwise no instance uses the first of 3 s of a cold start."""
     limit = pools.views["cold"].rate_limit
     limit.set_share(1.0, clock.now(), 0.9)
     clock.time += 0.2
     assert limit.may_send(clock.now())
 
 
-def test_an_upstream_that_is_cold_no_longer_takes_any_number(pools, clock):
+def test_limit_ends_with_the_cold_start(pools, clock):
     clock.time += 3.1
     assert usable(pools) == {"warm", "cold"}
 
 
-def test_a_report_that_it_is_warm_does_not_end_what_was_assumed(pools, clock):
-    """Its record may be older than what is known."""
+def test_registration_without_cold_start_does_not_end_assumed_one(pools, clock):
+    """The registration may be older than the assumption."""
     pools.adopt(entry("cold", 0.0))
     assert usable(pools) == {"warm"}
 
 
-def test_an_upstream_that_is_cold_again_is_limited_again(pools, clock):
+def test_second_cold_start_limits_upstream_again(pools, clock):
     clock.time += 10.0
     pools.adopt(entry("cold", 2.0))
     assert usable(pools) == {"warm"}
 
 
-def test_a_limit_that_it_names_holds_beside(pools, clock):
+def test_advertised_limit_applies_in_addition_to_cold_limit(pools, clock):
     view = pools.views["cold"]
     pools.rate_limits.record(view, 1.0)
     pools.rate_limits.update_shares(ALONE, ALONE)
@@ -96,14 +96,14 @@
     assert view.rate_limit.is_limited(clock.now())
 
 
-def test_pools_without_a_rate_are_not_limited(clock):
+def test_pool_without_cold_rate_is_not_limited(clock):
     pools = PoolTable(clock)
     pools.set_contracts([replace(traits(prompt()).resolution.pool, cold_s=3.0)], [])
     pools.adopt(entry("cold", 3.0))
     assert usable(pools) == {"cold"}
 
 
-def test_streams_that_may_not_pause_leave_cold_upstreams_to_others(pools, clock):
+def test_pause_sensitive_stream_avoids_cold_upstream(pools, clock):
     pools.rate_limits.update_shares(ALONE, ALONE)
     clock.time += 1.0
     pools.views["warm"].load.requests = 30
@@ -112,7 +112,7 @@
     assert choice.view.id == "warm"
 
 
-# Who was live lately
+# Recently live instances
 
 
 @pytest.fixture
@@ -123,22 +123,22 @@
     return memory
 
 
-def test_who_is_cut_off_still_counts_the_others(memory):
+def test_isolated_instance_still_counts_its_peers(memory):
     memory.record(ALONE, 12.0)
-    lately = memory.recent(ALONE, 12.0)
-    assert len(lately.members) == 8
-    assert lately.instances == 40
-    assert lately.zones == ("other", "z")
+    recent = memory.recent(ALONE, 12.0)
+    assert len(recent.members) == 8
+    assert recent.instances == 40
+    assert recent.zones == ("other", "z")
 
 
-def test_who_was_gone_for_long_counts_no_longer(memory):
+def test_long_absent_instances_are_not_counted(memory):
     now = 11.0 + RETENTION_S
     memory.record(ALONE, now)
-    lately = memory.recent(ALONE, now)
-    assert (lately.members, lately.instances) == (ALONE.members, 1)
+    recent = memory.recent(ALONE, now)
+    assert (recent.members, recent.instances) == (ALONE.members, 1)
 
 
-def test_who_starts_and_knows_of_nobody_has_no_part():
+def test_starting_instance_without_known_peers_has_no_share():
     memory = FleetMemory([ZONE], 0.0)
     memory.record(ALONE, 0.5)
     assert memory.recent(ALONE, 0.5).members == ()
--- a/packages/buckthornwall/src/buckthornwall/pools/tests/test_evacuation.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/tests/test_evacuation.py
@@ -1,4 +1,4 @@
-"""Tests of which zones are evacuated, whatever order records arrive in."""
+"""Tests of zone evacuations with records in any order."""
 
 import pytest
 
@@ -32,42 +32,42 @@
     return [view.id for view in pools.usable(POOL, frozenset())]
 
 
-def test_an_old_record_does_not_reopen_a_zone(evacuations):
+def test_old_record_does_not_reopen_zone(evacuations):
     assert not evacuations.record(ZONE, 9, False)
     assert evacuations.is_evacuated(ZONE)
 
 
-def test_a_removed_record_reopens_a_zone(evacuations):
+def test_removed_record_reopens_zone(evacuations):
     assert evacuations.record(ZONE, 11, False)
     assert not evacuations.record(ZONE, 10, True)
     assert evacuations.zones() == {}
 
 
-def test_a_snapshot_from_before_an_evacuation_does_not_end_it(evacuations):
+def test_snapshot_older_than_evacuation_does_not_end_it(evacuations):
     assert evacuations.record_absent(set(), 9) == []
     assert evacuations.is_evacuated(ZONE)
 
 
-def test_a_later_snapshot_without_a_zone_reopens_it(evacuations):
+def test_newer_snapshot_without_record_reopens_zone(evacuations):
     evacuations.record(OTHER, 11, True)
     assert evacuations.record_absent({OTHER}, 12) == [ZONE]
     assert evacuations.zones() == {OTHER: 11}
 
 
-def test_upstreams_of_an_evacuated_zone_get_no_new_requests(pools):
+def test_upstreams_of_evacuated_zone_get_no_new_requests(pools):
     pools.evacuations.record(ZONE, 1, True)
     assert usable(pools) == ["b"]
     assert not pools.is_evacuated(POOL)
 
 
-def test_an_evacuated_zone_is_not_used_where_everybody_else_fails(pools):
+def test_evacuated_zone_is_not_used_when_all_others_are_ejected(pools):
     pools.evacuations.record(ZONE, 1, True)
     pools.views["b"].health.ejected_until = pools.clock.now() + 9
     pools.views["b"].health.ejection_s = 9.0
     assert usable(pools) == ["b"]
 
 
-def test_with_all_zones_evacuated_nobody_is_left(pools):
+def test_no_upstream_is_usable_with_all_zones_evacuated(pools):
     pools.evacuations.record(ZONE, 1, True)
     pools.evacuations.record(OTHER, 2, True)
     assert usable(pools) == []
--- a/packages/buckthornwall/src/buckthornwall/pools/tests/test_health.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/tests/test_health.py
@@ -1,4 +1,4 @@
-"""Tests of who is set aside, and of the way back."""
+"""Tests of the ejection and readmission of upstreams."""
 
 from buckthornwall.pools import (
     Verdict,
@@ -8,7 +8,7 @@
 from .helpers import POOL
 
 
-def test_an_unreachable_upstream_is_set_aside_and_tried_again(table, clock):
+def test_unreachable_upstream_is_ejected_and_probed(table, clock):
     view = table.views["a"]
     table.record_outcome(view, Verdict.UNREACHABLE)
     assert view not in table.usable(POOL, set())
@@ -20,13 +20,13 @@
     assert view in table.usable(POOL, set())
 
 
-def test_where_all_are_set_aside_all_count(table):
+def test_all_upstreams_are_usable_when_all_are_ejected(table):
     for view in table.views.values():
         table.record_outcome(view, Verdict.UNREACHABLE)
     assert len(table.usable(POOL, set())) == 3
 
 
-def test_who_fails_much_more_than_the_rest_is_set_aside():
+def test_upstream_failing_more_than_the_others_is_ejected():
     health = Health()
     for step in range(30):
         health.record_outcome(
@@ -37,7 +37,7 @@
     assert health.ejected
 
 
-def test_who_fails_like_the_rest_is_not_set_aside():
+def test_upstream_failing_like_the_others_is_not_ejected():
     health = Health()
     for step in range(40):
         health.record_outcome(
--- a/packages/buckthornwall/src/buckthornwall/pools/tests/test_limit_queue.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/tests/test_limit_queue.py
@@ -1,4 +1,4 @@
-"""Tests of the order in which requests get tokens of a limited pool."""
+"""Tests of the order in which waiting requests get tokens of a limited pool."""
 
 from contextlib import ExitStack
 
@@ -12,7 +12,7 @@
     return LimitQueue()
 
 
-def test_the_most_urgent_goes_first_and_then_who_came_first(queue):
+def test_queue_is_ordered_by_rank_then_arrival(queue):
     with ExitStack() as stack:
         positions = [stack.enter_context(queue.join(rank)) for rank in (4, 1, 1)]
         assert [queue.is_next(position) for position in positions] == [
@@ -25,14 +25,14 @@
         assert queue.count_ahead(0) == 0
 
 
-def test_who_leaves_no_longer_counts(queue):
+def test_request_that_leaves_the_queue_does_not_block_others(queue):
     with queue.join(4) as routine:
         with queue.join(1):
             assert not queue.is_next(routine)
         assert queue.is_next(routine)
 
 
-def test_no_rank_starves(queue):
+def test_least_urgent_rank_does_not_starve(queue):
     with queue.join(4) as routine:
         for _ in range(3 * LEAST_URGENT_EVERY):
             with queue.join(1) as urgent:
--- a/packages/buckthornwall/src/buckthornwall/pools/tests/test_limit_share.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/tests/test_limit_share.py
@@ -1,4 +1,4 @@
-"""Tests of which instances send to an upstream that names a limit, at any size."""
+"""Tests of the shares of instances in advertised limits, for fleets of any size."""
 
 from collections import Counter
 
@@ -21,16 +21,16 @@
 
 
 def fleet_of(sizes):
-    """Return the views of all instances of zones of some sizes."""
+    """Return the view of each instance, for zones of the given sizes."""
     zones = tuple(ZoneId(f"z{place}") for place in range(len(sizes)))
     members = [
         tuple(f"10.{place}.0.{n}:1" for n in range(size))
         for place, size in enumerate(sizes)
     ]
     return [
-        Fleet(address, zone, zones, of_zone, sum(sizes))
-        for zone, of_zone in zip(zones, members, strict=True)
-        for address in of_zone
+        Fleet(address, zone, zones, in_zone, sum(sizes))
+        for zone, in_zone in zip(zones, members, strict=True)
+        for address in in_zone
     ]
 
 
@@ -39,7 +39,7 @@
 
 @pytest.mark.parametrize("sizes", SIZES)
 @pytest.mark.parametrize("per_s", [0.3, 1.0, 2.5, 10.0, 500.0])
-def test_all_together_send_no_more_than_is_named(sizes, per_s):
+def test_sum_of_shares_does_not_exceed_limit(sizes, per_s):
     rates = [local_rate(UPSTREAM, per_s, 0.0, fleet) for fleet in fleet_of(sizes)]
     assert sum(rates) <= per_s
     assert any(rates)
@@ -47,13 +47,13 @@
 
 @pytest.mark.parametrize("sizes", SIZES)
 @pytest.mark.parametrize("per_s", [1.0, 2.5, 10.0])
-def test_what_may_come_at_once_stays_within_a_second_of_it(sizes, per_s):
+def test_number_of_senders_does_not_exceed_limit(sizes, per_s):
     rates = [local_rate(UPSTREAM, per_s, 0.0, fleet) for fleet in fleet_of(sizes)]
     assert sum(1 for rate in rates if rate) <= per_s
 
 
-def test_one_request_a_second_is_used_by_195_instances():
-    """In equal parts none of them could send one within three minutes."""
+def test_limit_of_one_request_a_second_is_used_by_195_instances():
+    """With equal shares none of them could send one within three minutes."""
     rates = [
         local_rate(UPSTREAM, 1.0, 0.0, fleet)
         for fleet in fleet_of((33, 33, 33, 32, 32, 32))
@@ -62,7 +62,7 @@
     assert Counter(rates)[0.0] == 194
 
 
-def test_a_rate_for_many_is_used_by_all():
+def test_high_limit_is_shared_by_all_instances():
     rates = [local_rate(UPSTREAM, 60.0, 0.0, fleet) for fleet in fleet_of((2, 2, 2))]
     assert rates == [pytest.approx(9.0)] * 6
 
@@ -78,7 +78,7 @@
     assert len(chosen) > 6
 
 
-def test_others_are_drawn_where_nobody_hears_of_an_upstream():
+def test_senders_are_reselected_without_responses():
     fleets = fleet_of((4, 4, 4))
     chosen = {
         fleet.address
@@ -89,24 +89,24 @@
     assert len(chosen) > 6
 
 
-def test_an_upstream_that_takes_nothing_is_asked_now_and_then():
-    """Only its answer can say that it takes requests again."""
+def test_upstream_with_limit_0_still_gets_some_requests():
+    """Only its response can show that it accepts requests again."""
     rates = [local_rate(UPSTREAM, 0.0, 0.0, fleet) for fleet in fleet_of((2, 2))]
     assert 0 < sum(rates) <= 0.1
 
 
-def test_who_is_not_counted_by_the_others_sends_nothing():
+def test_instance_missing_from_the_fleet_sends_nothing():
     fleet = Fleet("10.9.0.9:1", ZoneId("z0"), (ZoneId("z0"),), ("10.0.0.1:1",), 1)
     assert local_rate(UPSTREAM, 1.0, 0.0, fleet) == 0.0
 
 
 @pytest.mark.parametrize("sizes", [(3, 3), (2, 3, 1), (33, 33)])
-def test_where_many_have_limits_no_instance_is_left_without_a_part(sizes):
-    """By hash alone one of three had a part in one of nine engines, another in six."""
+def test_shares_in_many_limits_are_balanced_within_zone(sizes):
+    """By hash alone, one of 3 instances had a share in 1 of 9 engines, another in 6."""
     limits = [
         UpstreamLimit(UpstreamId(f"u{n}"), 2.5, 0.0) for n in range(9 * len(sizes))
     ]
-    parts = Counter(
+    shares = Counter(
         {
             fleet.address: sum(
                 1 for rate in local_rates(limits, fleet).values() if rate
@@ -115,15 +115,15 @@
         }
     )
     for place, size in enumerate(sizes):
-        of_zone = [parts[f"10.{place}.0.{n}:1"] for n in range(size)]
-        assert max(of_zone) - min(of_zone) <= 1
+        in_zone = [shares[f"10.{place}.0.{n}:1"] for n in range(size)]
+        assert max(in_zone) - min(in_zone) <= 1
 
 
-def test_a_limit_more_leaves_most_parts_as_they_are():
+def test_additional_limit_keeps_most_shares():
     fleets = fleet_of((4, 4, 4))
     limits = [UpstreamLimit(UpstreamId(f"u{n}"), 1.0, 0.0) for n in range(9)]
 
-    def parts(limits):
+    def shares(limits):
         return {
             (fleet.address, upstream)
             for fleet in fleets
@@ -131,5 +131,5 @@
             if rate
         }
 
-    before = parts(limits[1:])
-    assert len(before & parts(limits)) >= len(before) / 2
+    before = shares(limits[1:])
+    assert len(before & shares(limits)) >= len(before) / 2
--- a/packages/buckthornwall/src/buckthornwall/pools/tests/test_limited_pool.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/tests/test_limited_pool.py
@@ -1,4 +1,4 @@
-"""Tests of a pool all of whose upstreams take only so many requests a second."""
+"""Tests of a pool all of whose upstreams have a rate limit."""
 
 import pytest
 
@@ -31,13 +31,13 @@
     return [view.id for view in pools.usable(POOL, frozenset())]
 
 
-def test_an_upstream_that_takes_no_more_is_not_used(pools):
+def test_upstream_without_share_is_not_used(pools):
     limit(pools, "a", 0.0)
     assert names(pools) == ["b"]
     assert not pools.is_limited(POOL)
 
 
-def test_a_pool_is_limited_once_all_of_it_are(pools, clock):
+def test_pool_is_limited_once_all_its_upstreams_are(pools, clock):
     limit(pools, "a", 0.5)
     limit(pools, "b", 0.0)
     assert pools.is_limited(POOL)
@@ -47,8 +47,8 @@
     assert names(pools) == ["a"]
 
 
-def test_the_last_token_is_left_to_more_urgent_requests_for_a_while(pools, clock):
-    """Drafts took each token as it came, and urgent requests found none."""
+def test_last_token_is_reserved_for_more_urgent_requests(pools, clock):
+    """Otherwise drafts take each token at once, and urgent requests find none."""
     limit(pools, "a", 1.0)
     limit(pools, "b", 1.0)
     clock.time += 1.1
--- a/packages/buckthornwall/src/buckthornwall/pools/tests/test_reachability.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/tests/test_reachability.py
@@ -1,4 +1,4 @@
-"""Tests of what instances tell each other of upstreams that cannot be reached."""
+"""Tests of the reports among instances on unreachable upstreams."""
 
 from dataclasses import replace
 
@@ -19,7 +19,7 @@
 from .test_reserved import pause_sensitive_route
 
 
-def test_what_was_found_is_told_for_a_while_and_not_after_an_answer():
+def test_failure_is_reported_until_it_expires_or_a_response_arrives():
     reachability = Reachability()
     assert not reachability.should_report(0.0)
     reachability.record_failed(1.0)
@@ -29,7 +29,7 @@
     assert not reachability.should_report(1.3)
 
 
-def test_one_or_two_that_are_cut_off_are_not_believed():
+def test_reports_of_too_few_instances_are_ignored():
     reachability = Reachability()
     reachability.record_reports(MIN_REPORTERS - 1, 1.0)
     assert not reachability.is_unreachable(1.0)
@@ -37,14 +37,14 @@
     assert reachability.is_unreachable(1.0)
 
 
-def test_word_grows_old():
+def test_received_reports_expire():
     reachability = Reachability()
     reachability.record_reports(9, 1.0)
     assert reachability.is_unreachable(1.0 + 0.9 * REPORT_TTL_S)
     assert not reachability.is_unreachable(1.1 + REPORT_TTL_S)
 
 
-def test_who_has_had_an_answer_goes_by_that():
+def test_recent_response_overrides_reports():
     reachability = Reachability()
     reachability.record_answered(1.0)
     reachability.record_reports(9, 1.1)
@@ -53,16 +53,16 @@
     assert reachability.is_unreachable(1.1 + ANSWER_TTL_S)
 
 
-def test_an_engine_that_others_miss_is_not_tried_while_there_are_more(table, clock):
+def test_engine_reported_unreachable_is_used_only_if_all_are(table, clock):
     lost = choose(table, clock, prompt()).view
     table.receive_unreachable({lost.id: MIN_REPORTERS, "gone": 9})
     assert lost not in table.usable(POOL, set())
-    everyone = {view.id: MIN_REPORTERS for view in table.members(POOL)}
-    table.receive_unreachable(everyone)
-    assert len(table.usable(POOL, set())) == len(everyone)
+    all_reported = {view.id: MIN_REPORTERS for view in table.members(POOL)}
+    table.receive_unreachable(all_reported)
+    assert len(table.usable(POOL, set())) == len(all_reported)
 
 
-def test_what_this_instance_finds_is_told(table, clock):
+def test_local_failures_to_connect_are_reported(table, clock):
     view = next(iter(table.members(POOL)))
     table.record_outcome(view, Verdict.FAILED)
     assert table.unreachable() == []
@@ -72,17 +72,17 @@
     assert table.unreachable() == []
 
 
-def test_sums_count_instances():
+def test_totals_add_up_reporting_instances():
     total = {"e1": 1}
     add_unreachable(total, {"e1": 2, "e2": 1})
     assert total == {"e1": 3, "e2": 1}
 
 
-def test_engines_that_are_lost_are_no_room_for_anybody(table, clock):
-    """A quarter of the slots were those of crashed engines, and nothing was refused.
+def test_slots_of_unreachable_engines_do_not_count_as_free(table, clock):
+    """Crashed engines must not make an overloaded pool look less than half used.
 
-    Where less than half of a pool is in use, nobody is. Drafts were taken that waited
-    for 1.2 s where 1.2 s was their target, at the worst moment of the day.
+    Below half use nothing is refused. With a quarter of the slots at crashed engines,
+    drafts were admitted that waited for 1.2 s with a target of 1.2 s, at peak load.
     """
     adopt(table, "lost", 1000)
     for view in table.members(POOL):
--- a/packages/buckthornwall/src/buckthornwall/pools/tests/test_table.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/tests/test_table.py
@@ -1,4 +1,4 @@
-"""Tests of registrations as they change."""
+"""Tests of changes of registrations."""
 
 import pytest
 
@@ -35,7 +35,7 @@
     return table
 
 
-def test_nothing_is_known_of_an_upstream_that_started_again(table, clock):
+def test_restart_discards_state_of_upstream(table, clock):
     assert table.adopt(entry("2"))
     view = table.views["a"]
     assert view.load.in_flight(clock.now()) == 0
@@ -46,7 +46,7 @@
 
 
 @pytest.mark.parametrize("generation", ["1", ""])
-def test_what_is_known_stays_where_no_other_start_is_told(table, generation):
+def test_state_is_kept_without_a_new_generation(table, generation):
     view = table.views["a"]
     assert not table.adopt(entry(generation))
     assert table.views["a"] is view
--- a/packages/buckthornwall/src/buckthornwall/quarantine/tests/test_fingerprint.py
+++ b/packages/buckthornwall/src/buckthornwall/quarantine/tests/test_fingerprint.py
@@ -1,4 +1,4 @@
-"""Tests of which requests count as the same."""
+"""Tests of the fingerprints of requests."""
 
 from dataclasses import replace
 
@@ -12,7 +12,7 @@
 TEAM = TeamId("one")
 
 
-def test_a_request_sent_again_under_another_id_is_the_same():
+def test_repeat_under_another_id_has_same_fingerprint():
     again = replace(REQUEST, id="r2", received_at=5.0, client_timeout_s=1.0)
     assert fingerprint_of(again, TEAM) == fingerprint_of(REQUEST, TEAM)
 
@@ -27,10 +27,10 @@
         {"host": "hos", "target": b"t/a/?b"},
     ],
 )
-def test_a_request_that_differs_is_another(change):
+def test_different_request_has_different_fingerprint(change):
     other = replace(REQUEST, **change)
     assert fingerprint_of(other, TEAM) != fingerprint_of(REQUEST, TEAM)
 
 
-def test_the_same_request_of_another_team_is_another():
+def test_same_request_of_another_team_has_different_fingerprint():
     assert fingerprint_of(REQUEST, TeamId("two")) != fingerprint_of(REQUEST, TEAM)
--- a/packages/buckthornwall/src/buckthornwall/quarantine/tests/test_table.py
+++ b/packages/buckthornwall/src/buckthornwall/quarantine/tests/test_table.py
@@ -1,4 +1,4 @@
-"""Tests of when a request is held to crash upstreams, and when it is cleared."""
+"""Tests of the quarantine of requests that crash upstreams."""
 
 import pytest
 from hypothesis import given
@@ -37,12 +37,12 @@
         table.record_termination(request, tag(upstream), now)
 
 
-def tell(source, target, now=NOW):
+def send_reports(source, target, now=NOW):
     for report in source.reports(now):
         target.receive(report, now)
 
 
-def test_a_request_is_refused_after_three_upstreams_ended_beneath_it(table):
+def test_request_is_refused_after_three_terminations(table):
     crash(table, "a", "b")
     assert not table.is_refused(REQUEST, NOW)
     crash(table, "c")
@@ -50,55 +50,55 @@
     assert not table.is_refused(ANOTHER, NOW)
 
 
-def test_one_end_that_several_attempts_saw_counts_once(table):
+def test_termination_seen_by_several_attempts_counts_once(table):
     crash(table, "a", "a", "a")
     assert table.records[REQUEST].crashes == 1
 
 
-def test_an_upstream_that_ends_again_after_another_start_counts_again(table):
+def test_each_generation_of_an_upstream_counts(table):
     for generation in ("1", "2", "3"):
         table.record_termination(REQUEST, tag("a", generation=generation), NOW)
     assert table.is_refused(REQUEST, NOW)
 
 
-def test_ends_that_different_instances_saw_count_together():
+def test_terminations_seen_by_different_instances_add_up():
     tables = [make_table() for _ in range(3)]
     for table, upstream in zip(tables, "abc", strict=True):
         crash(table, upstream)
-    tell(tables[0], tables[1])
-    tell(tables[1], tables[2])
+    send_reports(tables[0], tables[1])
+    send_reports(tables[1], tables[2])
     assert tables[2].is_refused(REQUEST, NOW)
 
 
-def test_a_run_that_went_well_clears_a_request_everywhere():
+def test_successful_run_clears_request_on_all_instances():
     one, other = make_table(), make_table()
     crash(one, "a", "b", "c")
-    tell(one, other)
+    send_reports(one, other)
     other.record_success(REQUEST, POOL, NOW)
-    tell(other, one)
+    send_reports(other, one)
     assert not one.is_refused(REQUEST, NOW)
 
 
-def test_a_request_that_ran_well_before_all_upstreams_were_lost_is_not_refused(table):
-    """It was beneath each of them, as every popular request is."""
+def test_request_that_succeeded_before_loss_of_all_upstreams_is_not_refused(table):
+    """Each of them was running it, as is the case for every popular request."""
     table.record_success(REQUEST, POOL, NOW)
     crash(table, "a", "b", "c", now=NOW + 1)
     assert not table.is_refused(REQUEST, NOW + 1)
 
 
-def test_a_success_of_long_ago_does_not_speak_for_a_request(table):
+def test_expired_success_does_not_clear_request(table):
     table.record_success(REQUEST, POOL, NOW)
     crash(table, "a", "b", "c", now=NOW + 60)
     assert table.is_refused(REQUEST, NOW + 60)
 
 
-def test_a_run_that_went_well_in_another_pool_says_nothing(table):
+def test_success_in_another_pool_does_not_clear_request(table):
     crash(table, "a", "b", "c")
     table.record_success(REQUEST, OTHER_POOL, NOW)
     assert table.is_refused(REQUEST, NOW)
 
 
-def test_a_request_that_no_longer_comes_is_forgotten(table):
+def test_record_of_absent_request_expires(table):
     crash(table, "a", "b", "c")
     later = NOW + FORGET_S + 1
     assert not table.is_refused(REQUEST, later)
@@ -107,11 +107,11 @@
     assert table.checksum == 0
 
 
-def test_a_request_that_keeps_coming_is_not_forgotten_by_who_never_sees_it():
-    """It comes to one instance only, and the other one is told of it."""
+def test_reminders_keep_record_alive_on_other_instances():
+    """The request arrives at one instance only, which reports it to the other."""
     one, other = make_table(), make_table()
     crash(one, "a", "b", "c")
-    tell(one, other)
+    send_reports(one, other)
     for minute in range(1, 31):
         now = NOW + 60 * minute
         one.record_refused(REQUEST, now)
@@ -122,20 +122,20 @@
     assert other.is_refused(REQUEST, NOW + 1800)
 
 
-def test_instances_that_tell_each_other_do_not_keep_a_request_alive():
+def test_reports_among_instances_do_not_keep_record_alive():
     one, other = make_table(), make_table()
     crash(one, "a", "b", "c")
     for tenths in range(int(FORGET_S + 2) * 10):
         now = NOW + tenths / 10
-        tell(one, other, now)
-        tell(other, one, now)
+        send_reports(one, other, now)
+        send_reports(other, one, now)
         one.expire(now)
         other.expire(now)
     assert not one.records
     assert not other.records
 
 
-def test_memory_is_bounded_and_what_crashed_least_goes_first():
+def test_full_table_evicts_request_with_fewest_crashes():
     table = make_table(most_requests=3)
     crash(table, "a", "b", "c")
     for number in range(10, 20):
@@ -144,12 +144,12 @@
     assert table.is_refused(REQUEST, NOW + 20)
 
 
-def test_the_sets_of_a_record_are_bounded(table):
+def test_number_of_terminations_is_bounded(table):
     crash(table, *(f"u{number}" for number in range(100)))
     assert len(table.records[REQUEST].terminations) <= 16
 
 
-def test_a_change_is_told_once(table):
+def test_change_is_reported_once(table):
     crash(table, "a")
     assert len(table.take_changed(10, NOW)) == 1
     assert table.take_changed(10, NOW) == []
@@ -170,7 +170,7 @@
 )
 
 
-def known(table):
+def contents(table):
     return {
         fingerprint: (record.terminations, record.cleared)
         for fingerprint, record in table.records.items()
@@ -178,33 +178,33 @@
 
 
 @given(REPORTS, st.randoms(use_true_random=False))
-def test_what_is_heard_in_any_order_and_again_comes_to_the_same(reports, draw):
-    """Each instance says only what it knows: `cleared` is a part of `terminations`."""
+def test_merge_is_commutative_and_idempotent(reports, rng):
+    """Reports of instances have `cleared` as a subset of `terminations`."""
     valid = [
         CrashReport(
             each.fingerprint,
             each.terminations,
-            [end for end in each.cleared if end in each.terminations],
+            [one for one in each.cleared if one in each.terminations],
             each.age_s,
         )
         for each in reports
     ]
     shuffled = valid + valid
-    draw.shuffle(shuffled)
+    rng.shuffle(shuffled)
     one, other = make_table(), make_table()
     for report in valid:
         one.receive(report, NOW)
     for report in shuffled:
         other.receive(report, NOW)
-    assert known(one) == known(other)
+    assert contents(one) == contents(other)
     assert one.checksum == other.checksum
 
 
 @given(REPORTS)
-def test_instances_that_know_different_things_have_different_checksums(reports):
+def test_checksums_are_equal_only_for_equal_records(reports):
     one, other = make_table(), make_table()
     for report in reports:
         one.receive(report, NOW)
     for report in reports[:-1]:
         other.receive(report, NOW)
-    assert (one.checksum == other.checksum) == (known(one) == known(other))
+    assert (one.checksum == other.checksum) == (contents(one) == contents(other))
