--- a/packages/buckthornwall/src/buckthornwall/platform/tests/test_client.py
+++ b/packages/buckthornwall/src/buckthornwall/platform/tests/test_client.py
@@ -1,4 +1,4 @@
-"""Tests of what completions deployments publish, read through the store's calls."""
+"""Tests of the client that reads records and instances of completions deployments."""
 
 import httpcore
 import msgspec
@@ -11,7 +11,7 @@
 
 
 class ScriptedPool:
-    """Gives one answer after another, and keeps what was asked."""
+    """Returns scripted responses in order, and keeps the requested targets."""
 
     def __init__(self, *answers) -> None:
         self.answers = list(answers)
@@ -52,7 +52,7 @@
     return msgspec.json.encode(entry | more)
 
 
-async def test_records_are_read_once_and_watched_then():
+async def test_records_are_read_once_and_then_watched():
     watched = client(
         page(4, item(RECORDS_KEY, b"one", 3)),
         events(4),
@@ -64,7 +64,7 @@
     assert "after=4&wait_ms=5000" in watched.pool.targets[2]
 
 
-async def test_lost_history_is_read_anew():
+async def test_records_are_read_again_after_lost_history():
     watched = client(
         page(4, item(RECORDS_KEY, b"one", 3)),
         (410, {}),
@@ -74,7 +74,7 @@
     assert await watched.watch_records(5.0) == b"two"
 
 
-async def test_the_list_follows_changes_and_removals():
+async def test_instance_list_follows_changes_and_removals():
     watched = client(
         page(2, item(INSTANCES_PREFIX + "a", listed("a"), 1), truncated=True),
         page(3, item(INSTANCES_PREFIX + "b", listed("b"), 2)),
@@ -90,7 +90,7 @@
 
 
 @pytest.mark.parametrize("answer", [(503, {}), (429, {}), (200, {"items": []})])
-async def test_an_answer_that_is_none_changes_nothing(answer):
+async def test_error_response_changes_nothing(answer):
     watched = client(page(2, item(RECORDS_KEY, b"one", 1)), answer, events(2))
     await watched.watch_records(1.0)
     with pytest.raises(PeerError):
@@ -98,7 +98,7 @@
     assert await watched.watch_records(1.0) is None
 
 
-async def test_bytes_that_are_not_base64_are_refused():
+async def test_value_that_is_not_base64_is_refused():
     async def transport(target: str, wait_s: float) -> StoreAnswer:
         body = b'{"store_revision": 1, "items": [{"key": "k", "value": "a"}]}'
         return StoreAnswer(200, body)
--- a/packages/buckthornwall/src/buckthornwall/platform/tests/test_evacuations.py
+++ b/packages/buckthornwall/src/buckthornwall/platform/tests/test_evacuations.py
@@ -1,4 +1,4 @@
-"""Tests of records on zones as they lie in the platform's store."""
+"""Tests of the records of evacuated zones in the platform's store."""
 
 import pytest
 
@@ -14,13 +14,13 @@
     return to_store_update(Changes(len(changes), changes), is_snapshot)
 
 
-def test_a_record_names_its_zone_in_its_key():
+def test_key_of_a_record_contains_its_zone():
     found = update(("north", b"{}"), ("south", b'{"since": 3}'))
     assert found.evacuated == {"north": 1, "south": 2}
     assert found.change_revision == 2
 
 
-def test_a_removal_later_in_the_same_answer_holds():
+def test_last_change_in_the_same_response_applies():
     found = update(("north", b"{}"), ("north", None))
     assert (found.evacuated, found.reopened) == ({}, {"north": 2})
     again = update(("north", None), ("north", b"{}"))
@@ -28,7 +28,7 @@
 
 
 @pytest.mark.parametrize("raw", [b"\xff\xfe", b"{", b"[]", b"7", b'"north"', b""])
-def test_a_record_that_cannot_be_read_changes_nothing(raw):
+def test_invalid_record_changes_nothing(raw):
     found = update(("north", raw), ("south", b"{}"), is_snapshot=True)
     assert found.evacuated == {"south": 2}
     assert found.reopened == {}
--- a/packages/buckthornwall/src/buckthornwall/platform/tests/test_registrations.py
+++ b/packages/buckthornwall/src/buckthornwall/platform/tests/test_registrations.py
@@ -1,4 +1,4 @@
-"""Tests of registrations that another writer left in the platform's store."""
+"""Tests of registrations in the platform's store, valid or not."""
 
 import json
 
@@ -60,7 +60,7 @@
         written(models=3),
     ],
 )
-def test_an_entry_that_cannot_be_read_names_nobody_and_others_hold(raw, lines):
+def test_invalid_registration_is_refused_and_others_apply(raw, lines):
     update = to_store_update(
         changes(written(), raw, written(state="draining")), is_snapshot=True
     )
@@ -73,13 +73,13 @@
     assert "code=" in refused[0]
 
 
-def test_an_entry_written_over_by_one_that_cannot_be_read_is_gone():
+def test_registration_replaced_by_an_invalid_one_is_removed():
     update = to_store_update(changes(written(), b"?"), is_snapshot=False)
     assert list(update.entries) == ["u0"]
     assert update.removed == {"u1"}
 
 
-def test_an_upstream_that_started_again_under_its_id_is_another_start():
+def test_upstream_restarted_under_its_id_has_another_generation():
     first = to_store_update(changes(written(born=17)), is_snapshot=True).entries["u0"]
     again = to_store_update(changes(written(born=18)), is_snapshot=True).entries["u0"]
     assert first.generation != again.generation
--- a/packages/buckthornwall/src/buckthornwall/platform/tests/test_store.py
+++ b/packages/buckthornwall/src/buckthornwall/platform/tests/test_store.py
@@ -1,4 +1,4 @@
-"""Tests of the client of the platform's store, over connections that fail."""
+"""Tests of the store client over connections that fail."""
 
 import json
 
@@ -12,8 +12,8 @@
 ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(BODY), BODY)
 
 
-async def test_a_connection_that_goes_silent_is_replaced(raw_upstream):
-    """No reset tells of it; only the time for an answer does."""
+async def test_silent_connection_is_replaced(raw_upstream):
+    """Without a reset, only the answer timeout detects it."""
     address = await raw_upstream(ANSWER, 60.0, ANSWER)
     client = StoreClient(StoreSettings(address=address, answer_timeout_ms=100.0))
     assert (await client.read_all()).revision == 7
@@ -23,7 +23,7 @@
         assert (await client.read_all()).revision == 7
 
 
-async def test_a_watch_that_goes_silent_ends_soon_after_its_wait(raw_upstream):
+async def test_silent_watch_fails_soon_after_its_wait(raw_upstream):
     address = await raw_upstream(60.0, ANSWER)
     client = StoreClient(StoreSettings(address=address, answer_timeout_ms=100.0))
     with trio.fail_after(2.0), pytest.raises(PeerError):
--- a/packages/buckthornwall/src/buckthornwall/platform/tests/test_wire.py
+++ b/packages/buckthornwall/src/buckthornwall/platform/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""Tests of the translation between the platform's names and the product's."""
+"""Tests of converting from and to the platform's headers and configuration."""
 
 import math
 
@@ -28,7 +28,7 @@
     return dict(PlatformCodec().encode(request, AttemptContext(**(context | changes))))
 
 
-def test_a_request_is_read_into_the_products_words():
+def test_request_headers_are_decoded():
     request = decode_request(
         incoming(
             (PREFIX + b"deadline-ms", b"1500"),
@@ -60,7 +60,7 @@
         (PREFIX + b"attempt-id", b""),
     ],
 )
-def test_a_header_that_decides_must_be_valid(header):
+def test_invalid_routing_header_is_refused(header):
     with pytest.raises(Refusal):
         decode_request(incoming(header))
 
@@ -80,7 +80,7 @@
         b"x-named-by-connection",
     ],
 )
-def test_what_is_the_systems_or_the_connections_is_not_passed_on(name):
+def test_router_only_and_hop_by_hop_headers_are_not_forwarded(name):
     request = decode_request(
         incoming((name, b"1"), (b"connection", b"close, X-Named-By-Connection"))
     )
@@ -88,7 +88,7 @@
     assert b"connection" not in dict(request.headers)
 
 
-def test_other_headers_pass_unchanged():
+def test_other_headers_are_forwarded_unchanged():
     request = decode_request(incoming((PREFIX + b"length-hint", b"80"), (b"a", b"B")))
     headers = encoded(request)
     assert headers[PREFIX + b"length-hint"] == b"80"
@@ -96,7 +96,7 @@
     assert headers[PREFIX + b"attempt-id"] == b"r1"
 
 
-def test_an_attempt_names_instance_team_time_left_and_priority():
+def test_attempt_headers_give_instance_team_deadline_and_priority():
     prompt = (PREFIX + b"token-count", b"9,9")
     headers = encoded(decode_request(incoming(prompt)), resume_after="4")
     assert headers[PREFIX + b"expect-instance"] == b"i-1"
@@ -117,7 +117,7 @@
         (500, [(PREFIX + b"response-seal", b"s")], False, False),
     ],
 )
-def test_only_what_the_pages_name_says_not_run(status, headers, not_run, good):
+def test_only_documented_responses_mean_not_run(status, headers, not_run, good):
     reply = PlatformCodec().decode(ReplyHead(status, headers))
     assert (reply.not_run, reply.is_attested_success) == (not_run, good)
 
@@ -150,7 +150,7 @@
         (b"many", None),
     ],
 )
-def test_the_rate_that_an_upstream_takes_is_read(value, limit):
+def test_rate_limit_of_an_upstream_is_decoded(value, limit):
     headers = [] if value is None else [(b"server-limit", value)]
     assert PlatformCodec().decode(ReplyHead(200, headers)).rate_limit == limit
 
@@ -168,7 +168,7 @@
  "tenants": [{"name": "t1", "api_keys": ["k"], "priority": 1}]}"""
 
 
-def test_a_configuration_is_read_whole():
+def test_complete_configuration_is_decoded():
     published = decode_published(CONFIG)
     stream, order = published.routes
     assert published.number == 7
@@ -185,12 +185,12 @@
 
 
 @pytest.mark.parametrize("raw", [b"{", b'{"routes": []}', b'{"version": "x"}'])
-def test_a_configuration_that_is_none_is_refused(raw):
+def test_invalid_configuration_is_refused(raw):
     with pytest.raises(RecordError):
         decode_published(raw)
 
 
-def test_the_regions_of_routes_and_teams_are_read():
+def test_regions_of_routes_and_teams_are_decoded():
     raw = b"""{"version": 7, "routes": [
      {"name": "r", "host": "h", "path_prefix": "/", "kind": "stream",
       "allowed_regions": ["east", "west"]}],
