--- a/packages/buckthornwall/src/buckthornwall/pools/__init__.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/__init__.py
@@ -1,29 +1,29 @@
-"""The upstreams of each pool: who is there, how loaded, how healthy, who is next.
+"""Upstreams of each pool: registrations, load, health, and placement of requests.
 
 ============= ============================================================
 `entry`       an upstream as it is registered
-`load`        how much work lies at an upstream, as far as is known here
+`load`        load of an upstream as known to this instance
 `waits`       how long requests there have waited for their first token
-`prefixes`    which shared parts of prompts an engine is likely to hold
-`prefix_updates` what instances tell each other of that
+`prefixes`    estimate of the prefix cache of an engine
+`prefix_updates` exchange of cached prefixes between instances
 `evacuation`  which availability zones get no new requests
 `health`      which upstreams fail requests, whatever their health check says
 `reachability` which upstreams cannot be reached, as instances tell each other
 `rate_limit`  how many requests a second an upstream takes from all instances
 `rate_limits` those of all upstreams, and what an instance may send
 `limit_share` which instances send to one, and how much each
-`fleet_memory` which instances were live lately
+`fleet_memory` instances that were live lately
 `limit_queue` who gets the next token where all of a pool have a limit
 `view`        all of these for one upstream
 `table`       the views by upstream; adopts registrations
-`reserved`    engines kept free of long prompts, for streams that must not pause
+`reserved`    engines reserved for pause-sensitive streams
 `placement`   the choice of an upstream for a request
-`ledger`      what was let in and refused lately, by rank
-`overload`    limits of what is refused, and when it is to come back
-`traits`      what decisions know of a request
-`expectation` how long its first token is expected to take
-`refusal`     whether it is refused
-`decision`    where it goes
+`ledger`      requests admitted and refused lately, by rank
+`overload`    limits of the expected wait, and the delay of retries
+`traits`      properties of a request that decisions depend on
+`expectation` expected time to the first token
+`refusal`     whether a request is refused for overload
+`decision`    which upstream a request is sent to
 ============= ============================================================
 """
 
--- a/packages/buckthornwall/src/buckthornwall/pools/fleet_memory.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/fleet_memory.py
@@ -1,8 +1,8 @@
-"""Which instances were live lately, for limits that those out of touch keep too.
+"""Remember the instances that were live lately, for shares of rate limits.
 
-An instance that is cut off from the others takes itself to be alone, and so does one
-that has just started. With all that an upstream bears as the part of each, they would
-send it many times that together.
+An instance that is partitioned from its peers, or has just started, sees only itself.
+If each such instance took the whole rate limit of an upstream as its share, together
+they would send many times the limit.
 """
 
 import math
@@ -14,22 +14,22 @@
 
 __all__ = ["FleetMemory"]
 
-# Who was live within so many seconds has its part still.
+# An instance keeps its share for this long after it was last live.
 RETENTION_S = 30.0
-# Who knows of nobody else has no part for so many seconds after its start: the others
-# may not have heard of it, nor it of them.
+# An instance without known peers has no share for this long after its start, since
+# discovery between it and its peers may not be complete.
 SETTLE_S = 3.0
 
 
 class FleetMemory:
-    """The instances that were live lately, as one of them knows it.
+    """The instances that were live lately, as known to one of them.
 
     Parameters
     ----------
     zones
-        The availability zones that there are, as far as settings name them.
+        Availability zones named in the settings.
     now
-        When this instance started, in seconds.
+        Start time of this instance, in seconds.
     """
 
     def __init__(self, zones: Iterable[ZoneId], now: float) -> None:
@@ -40,7 +40,7 @@
         self._max_instances_at = now
 
     def record(self, fleet: Fleet, now: float) -> None:
-        """Record who is live now."""
+        """Record the instances that are live now."""
         self._zones |= dict.fromkeys(fleet.zones, now)
         self._members |= dict.fromkeys(fleet.members, now)
         if (
@@ -54,12 +54,12 @@
                 del seen[name]
 
     def recent(self, fleet: Fleet, now: float) -> Fleet:
-        """Return who was live lately.
+        """Return the fleet with all instances that were live lately.
 
         Parameters
         ----------
         fleet
-            Who is live now.
+            The instances that are live now.
         now
             The time in seconds.
         """
@@ -69,7 +69,7 @@
             if is_settled or self._max_instances > 1
             else ()
         )
-        # Until more is known a large fleet is assumed, of which each has a small part.
+        # Until then an unbounded fleet is assumed, in which each share is the smallest.
         instances = self._max_instances if is_settled else math.inf
         return Fleet(
             fleet.address, fleet.zone, tuple(sorted(self._zones)), members, instances
--- a/packages/buckthornwall/src/buckthornwall/pools/ledger.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/ledger.py
@@ -1,8 +1,8 @@
-"""What one instance let in and refused lately, by rank.
+"""Keep the requests that one instance lately admitted and refused, by rank.
 
-Whether a request would come too late is judged by its own target. That alone refuses
-what is more urgent at waits at which what is less urgent, and has a longer target, is
-still let in; so what was refused is held against what was let in below it.
+Whether a request is late depends on its own target. That alone would refuse urgent
+requests at waits at which less urgent ones with a longer target are still admitted, so
+the tokens refused of a rank are compared with those admitted of less urgent ranks.
 """
 
 from collections import deque
@@ -10,13 +10,13 @@
 
 __all__ = ["AdmissionLedger"]
 
-# What is older says nothing of the load there is; seconds.
+# Older decisions tell nothing about the present load.
 WINDOW_S = 10.0
 
 
 @dataclass(frozen=True, slots=True)
 class _Entry:
-    """One request that was let in or refused; its prompt in tokens."""
+    """An admitted or refused request; `tokens` is the length of its prompt."""
 
     at: float
     rank: int
@@ -24,9 +24,9 @@
 
 
 class AdmissionLedger:
-    """Requests to one pool within a window; times are in seconds.
+    """Admitted and refused requests of one pool within a window; times in seconds.
 
-    Requests that nothing may go before are never refused, and need no entry.
+    Requests of the most urgent rank are never refused, and need no entry.
     """
 
     def __init__(self) -> None:
@@ -35,7 +35,7 @@
 
     @property
     def entries(self) -> int:
-        """How many requests are kept."""
+        """Number of requests in the window."""
         return len(self._admitted) + len(self._refused)
 
     def record_admitted(self, rank: int, tokens: int, now: float) -> None:
@@ -49,29 +49,30 @@
         self._refused.append(_Entry(now, rank, tokens))
 
     def has_deficit(self, rank: int, tokens: int, now: float) -> bool:
-        """Tell whether a late request is to be let in since less urgent ones were.
+        """Return whether a late request is admitted since less urgent ones were.
 
-        It is as long as more tokens of less urgent requests were let in than of such
-        that are as urgent were refused, this one counted with those.
+        It is while more tokens of less urgent requests were admitted than tokens of
+        requests at least as urgent were refused, this one included.
         """
         return self._admitted_below(rank, now) > self.refused(rank, now) + tokens
 
     def refused(self, rank: int, now: float) -> int:
-        """Return the tokens refused of ranks as urgent as one, or more."""
+        """Return the tokens refused of ranks at least as urgent as `rank`."""
         _expire(self._refused, now)
         return sum(each.tokens for each in self._refused if each.rank <= rank)
 
     def should_defer(self, rank: int, tokens: int, now: float) -> bool:
-        """Tell whether a request is to be refused since more urgent ones were.
+        """Return whether a request is refused since more urgent ones were.
 
-        It is once the less urgent requests let in, with this one, have more tokens
-        than the more urgent ones refused: up to that none starves.
+        It is once the tokens admitted of its rank and less urgent ones, this one
+        included, exceed those refused of more urgent ranks. Up to that amount it is
+        admitted, so that no rank starves.
         """
         refused = self.refused(rank - 1, now)
         return 0 < refused < self._admitted_below(rank - 1, now) + tokens
 
     def _admitted_below(self, rank: int, now: float) -> int:
-        """Return the tokens let in of ranks less urgent than one."""
+        """Return the tokens admitted of ranks less urgent than `rank`."""
         _expire(self._admitted, now)
         return sum(each.tokens for each in self._admitted if each.rank > rank)
 
--- a/packages/buckthornwall/src/buckthornwall/pools/load.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/load.py
@@ -1,4 +1,4 @@
-"""How much work lies at an upstream, as far as this instance knows."""
+"""Load of one upstream as known to this instance."""
 
 from dataclasses import dataclass, field
 
@@ -6,13 +6,13 @@
 
 __all__ = ["NO_PEERS", "Load", "LoadReport", "PeerLoad"]
 
-# A report older than this says nothing that own counts do not say better.
+# The counts of the instances are more accurate than an older report of the upstream.
 MAX_REPORT_AGE_S = 1.0
 
 
 @dataclass(frozen=True, slots=True)
 class LoadReport:
-    """What an upstream said of itself: requests running, waiting, and slots."""
+    """An upstream's report of its running requests, queued requests, and slots."""
 
     running: int
     waiting: int
@@ -21,13 +21,20 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerLoad:
-    """What other instances have sent there and not yet got back.
+    """Work of the peers in flight at one upstream.
 
-    `pending_prefill` gives the prompt tokens still to be read, by rank, and
-    `pause_sensitive` how many of the requests are streams whose pauses must be short.
-    `oldest_wait_s` tells, by rank, how long the oldest request has waited for its first
-    token, in seconds. `memory` counts the tokens that the requests take in the engine's
-    memory.
+    Attributes
+    ----------
+    requests : int
+        Requests in flight.
+    pending_prefill : dict
+        Prompt tokens not prefilled yet, by rank.
+    pause_sensitive : int
+        Pause-sensitive streams among the requests.
+    oldest_wait_s : dict
+        How long the oldest request has waited for its first token, in seconds, by rank.
+    memory : int
+        Tokens that the requests take in the engine's memory.
     """
 
     requests: int = 0
@@ -41,23 +48,22 @@
 
 
 class Load:
-    """Counts of one upstream.
+    """Load of one upstream: local work, work of the peers, and its own report.
 
     Attributes
     ----------
     requests : int
         Requests of this instance in flight there.
     pause_sensitive : int
-        Those of them whose pauses must be short.
+        Pause-sensitive streams among them.
     pending_prefill : dict
-        By rank, the prompt tokens of this instance sent there whose first
-        token is due.
+        Prompt tokens of this instance sent there and not prefilled yet, by rank.
     memory : int
         Tokens that the requests of this instance take in the engine's memory.
     waits : Waits
         How long requests of this instance have waited there.
     peers : PeerLoad
-        The same over the other instances, as last told.
+        The same over the other instances, as last received.
     """
 
     def __init__(self) -> None:
@@ -72,13 +78,13 @@
         self._requests_at_report = 0
 
     def record_report(self, report: LoadReport, now: float) -> None:
-        """Note what came with a reply at `now`."""
+        """Record a report that came with a response at `now`."""
         self.report = report
         self._report_at = now
         self._requests_at_report = self.requests
 
     def add_pending_prefill(self, rank: int, tokens: int) -> None:
-        """Count prompt tokens of a rank, or no longer if negative."""
+        """Add pending prompt tokens of a rank; a negative number removes them."""
         left = self.pending_prefill.get(rank, 0) + tokens
         if left > 0:
             self.pending_prefill[rank] = left
@@ -86,15 +92,19 @@
             self.pending_prefill.pop(rank, None)
 
     def total_pause_sensitive(self) -> int:
-        """Return the streams there whose pauses must be short."""
+        """Return the number of pause-sensitive streams there."""
         return self.pause_sensitive + self.peers.pause_sensitive
 
     def total_memory_tokens(self) -> int:
-        """Return the tokens of memory that requests there take."""
+        """Return the tokens that all requests take in the engine's memory."""
         return self.memory + self.peers.memory
 
     def in_flight(self, now: float) -> int:
-        """Return the best guess of the requests there, running or waiting."""
+        """Return the estimated number of requests there, running or queued.
+
+        The larger of the counts and the upstream's report, with the requests sent from
+        here since then.
+        """
         counted = self.requests + self.peers.requests
         if self.report is None or now - self._report_at > MAX_REPORT_AGE_S:
             return counted
@@ -103,17 +113,17 @@
         return max(counted, reported + since)
 
     def report_age_ms(self, now: float) -> int | str:
-        """Return how old the upstream's own report is, or '' without any."""
+        """Return the age of the upstream's report, or '' without one."""
         return "" if self.report is None else round((now - self._report_at) * 1000)
 
     def waiting(self, now: float) -> int:
-        """Return the requests that the upstream said wait there for a slot."""
+        """Return the number of requests that the upstream reported as queued."""
         if self.report is None or now - self._report_at > MAX_REPORT_AGE_S:
             return 0
         return self.report.waiting
 
     def oldest_wait_before_s(self, rank: int, now: float) -> float:
-        """Return how long the oldest request before a new one has waited."""
+        """Return the wait of the oldest request served before a new one of `rank`."""
         return max(
             (
                 age
@@ -125,7 +135,7 @@
         )
 
     def pending_prefill_before(self, rank: int) -> int:
-        """Return the prompt tokens that are read before a new one of `rank`."""
+        """Return the pending tokens that are prefilled before a new one of `rank`."""
         return sum(
             tokens
             for pending_prefill in (self.pending_prefill, self.peers.pending_prefill)
@@ -134,11 +144,11 @@
         )
 
     def pending_prefill_after(self, rank: int) -> int:
-        """Return the prompt tokens that are read after a new one of `rank`."""
+        """Return the pending tokens that are prefilled after a new one of `rank`."""
         return self.total_pending_prefill() - self.pending_prefill_before(rank)
 
     def total_pending_prefill(self) -> int:
-        """Return all prompt tokens that wait there to be read."""
+        """Return the pending prefill tokens of all ranks."""
         return sum(self.pending_prefill.values()) + sum(
             self.peers.pending_prefill.values()
         )
--- a/packages/buckthornwall/src/buckthornwall/pools/overload.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/overload.py
@@ -1,4 +1,4 @@
-"""Whether to refuse a request at once because it would come far too late."""
+"""Decide whether a request is refused since its first token would come too late."""
 
 from collections.abc import Iterable
 
@@ -6,31 +6,30 @@
 
 __all__ = ["is_hopeless", "is_late", "is_loaded", "is_overloaded", "retry_after_s"]
 
-# A request is refused when its first token is expected after this many targets.
+# A request is refused if its first token is expected after this many targets.
 MAX_TARGETS = 0.8
-# It is not refused for its own length: that much of the target must be a wait for
-# others, or the longest prompts would be sent away as often as they came.
+# At least this many targets of the expected time must be a wait for other requests;
+# otherwise the longest prompts would be refused on every retry for their own prefill.
 MIN_QUEUEING_TARGETS = 0.4
-# A request that less urgent ones were let in before is taken until it is expected after
-# so many targets; its caller may have left by then.
+# Limit for a request with a deficit against less urgent ones that were admitted. Later
+# than that its client may have disconnected.
 MAX_TARGETS_WITH_DEFICIT = 3.0
-# A pool of which less is in use is not overloaded, whatever one engine says.
+# A pool with less of its slots in use is not overloaded, whatever one engine reports.
 MIN_LOADED_SHARE = 0.5
-# Who is refused comes back when what is ahead has been served, and half as much again
-# that came meanwhile; sooner, he would come into the same overload. Retries are bounded
-# in seconds.
+# A refused request is retried after the requests ahead have been served, and half as
+# many again that arrived meanwhile; earlier, it would meet the same overload.
 RETRY_FACTOR = 1.5
 MIN_RETRY_S = 0.1
 MAX_RETRY_S = 2.0
 
 
 def is_late(expected_s: float, target_s: float) -> bool:
-    """Tell whether a first token is expected too late to take a request for it."""
+    """Return whether a first token is expected too late to admit the request."""
     return expected_s > MAX_TARGETS * target_s
 
 
 def is_hopeless(expected_s: float, target_s: float) -> bool:
-    """Tell whether a request comes too late to be taken before less urgent ones."""
+    """Return whether a request is too late to be admitted even with a deficit."""
     return expected_s > MAX_TARGETS_WITH_DEFICIT * target_s
 
 
@@ -41,16 +40,16 @@
     views: Iterable[UpstreamView],
     now: float,
 ) -> bool:
-    """Tell whether a request that is not urgent should be refused at once.
+    """Return whether a request that is not urgent should be refused at once.
 
     Parameters
     ----------
     expected_s
-        When its first token is expected, in seconds.
+        Expected time to its first token, in seconds.
     own_prefill_s
-        How much of that its own prompt takes to be read.
+        Part of that for the prefill of its own prompt.
     target_s
-        When its contract wants it.
+        Target of the time to first token in its contract.
     views
         All engines of the pool.
     now
@@ -64,7 +63,7 @@
 
 
 def is_loaded(views: Iterable[UpstreamView], now: float) -> bool:
-    """Tell whether requests wait in a pool, or much of it is in use."""
+    """Return whether requests are queued in a pool, or many of its slots in use."""
     views = list(views)
     if any(view.load.waiting(now) for view in views):
         return True
@@ -74,5 +73,5 @@
 
 
 def retry_after_s(expected_s: float) -> float:
-    """Return when a refused request should come back, in seconds."""
+    """Return after how many seconds a refused request should be retried."""
     return min(MAX_RETRY_S, max(MIN_RETRY_S, RETRY_FACTOR * expected_s))
--- a/packages/buckthornwall/src/buckthornwall/pools/prefix_updates.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/prefix_updates.py
@@ -1,9 +1,9 @@
-"""Which shared segments were sent to which engine, as instances tell each other.
+"""Exchange between instances of the segments that were sent to each engine.
 
-One instance sees only its share of the prompts: of those that reached the home of
-their shared segment, most were the first ones there from this instance, and not the
-first ones of all. What is told costs some bytes a prompt; what is not known makes a
-segment that nobody has read look like one that is cached.
+One instance sees only its share of the prompts: most prompts that are the first of
+their prefix from this instance are not the first on that engine. An update costs some
+bytes per prompt. Without updates an instance cannot tell a segment that another one
+had cached from one that no engine has prefilled.
 """
 
 import itertools
@@ -13,28 +13,28 @@
 
 __all__ = ["CachedPrefixes", "PrefixUpdates", "merge_cached_prefixes"]
 
-# By upstream, the segments that were sent there: id and tokens.
+# Segments sent to each upstream: id and tokens.
 CachedPrefixes = dict[UpstreamId, list[tuple[str, int]]]
 
-# Seconds for which a segment is told, so that a lost datagram costs nothing.
+# A segment is repeated in messages for this long, so that a lost datagram does not
+# matter.
 REPEAT_S = 0.35
-# A segment that is used again is told again after this long, so that others do not
-# take it to have left the engine's memory.
+# A segment still in use is sent again after this long, so that peers do not assume that
+# it was evicted.
 REFRESH_S = 10.0
-# Shorter segments, in tokens, are read as quickly as they are copied, and would crowd
-# the others out of a message.
+# Shorter segments are prefilled as quickly as copied, and would displace longer ones.
 MIN_SENT_TOKENS = 500
-# Parts in one message at most, the newest first; about 15 bytes each.
+# Segments in one message, the newest first; about 15 bytes each.
 MAX_SENT_PREFIXES = 96
 
 
 class PrefixUpdates:
-    """Parts that were sent to engines lately, each told for a while.
+    """Segments sent to engines lately, each repeated in messages for a while.
 
     Parameters
     ----------
     repeat_s
-        Seconds for which each is told.
+        Seconds for which each is repeated.
     """
 
     def __init__(self, repeat_s: float = REPEAT_S) -> None:
@@ -51,16 +51,16 @@
             key = (upstream, segment)
             before = self._recorded.get(key)
             if before is None or now - before[1] > REFRESH_S:
-                self._recorded.pop(key, None)  # the newest stand last
+                self._recorded.pop(key, None)  # keeps the newest last
                 self._recorded[key] = (tokens, now)
 
     def receive(self, cached_prefixes: CachedPrefixes, now: float) -> None:
-        """Take what another instance told."""
+        """Record the segments reported by another instance."""
         for upstream, segments in cached_prefixes.items():
             self.record(upstream, segments, now)
 
     def to_send(self, now: float) -> CachedPrefixes:
-        """Return what is to be told now."""
+        """Return the segments for the next message."""
         self._expire(now)
         cached_prefixes: CachedPrefixes = {}
         newest = itertools.islice(reversed(self._recorded.items()), MAX_SENT_PREFIXES)
@@ -79,7 +79,7 @@
 
 
 def merge_cached_prefixes(total: CachedPrefixes, update: CachedPrefixes) -> None:
-    """Add what one instance told to a total."""
+    """Add the segments reported by one instance to a total."""
     for upstream, segments in update.items():
         known = total.setdefault(upstream, [])
         known.extend(each for each in segments if each not in known)
--- a/packages/buckthornwall/src/buckthornwall/pools/prefixes.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/prefixes.py
@@ -1,7 +1,7 @@
-"""Which shared segments of prompts an engine is likely to hold.
+"""Estimate which prompt segments an engine has in its prefix cache.
 
-An engine that holds a segment need not read it again, if it also holds every
-segment before it. What is kept here is a guess from what was sent there.
+An engine need not prefill a cached segment again if all segments before it are cached
+too. The estimate follows from the prompts sent there, with LRU eviction.
 """
 
 from collections import OrderedDict
@@ -11,13 +11,12 @@
 
 __all__ = ["PrefixCacheEstimate"]
 
-# Engines keep running requests in the same memory; this share is left to
-# segments that were read for earlier ones.
+# Running requests use the same memory; this share is left for cached segments.
 PREFIX_CACHE_SHARE = 0.5
 
 
 class PrefixCacheEstimate:
-    """The segments read by one engine, the least recently used first.
+    """Segments that one engine probably has cached, least recently used first.
 
     Parameters
     ----------
@@ -31,16 +30,16 @@
         self._segments: OrderedDict[str, int] = OrderedDict()
 
     def set_memory(self, capacity_tokens: int) -> None:
-        """Take the engine's memory, in tokens, from a new configuration."""
+        """Set the engine's memory, in tokens, from a new configuration."""
         self.memory_tokens = capacity_tokens
 
     @property
     def capacity_tokens(self) -> float:
-        """Tokens that segments of earlier requests may take."""
+        """Capacity of the prefix cache, in tokens."""
         return self.memory_tokens * PREFIX_CACHE_SHARE
 
     def cached_tokens(self, prompt: PromptShape) -> int:
-        """Return how many leading tokens of a prompt lie there."""
+        """Return how many leading tokens of a prompt are probably cached."""
         tokens = 0
         for segment in prompt.segments:
             if segment.id not in self._segments:
@@ -49,13 +48,13 @@
         return tokens
 
     def record(self, prompt: PromptShape) -> None:
-        """Record that the prompt is read there now."""
+        """Record that the engine prefills a prompt now."""
         self.record_segments(
             (segment.id, segment.tokens) for segment in prompt.segments
         )
 
     def record_segments(self, segments: Iterable[tuple[str, int]]) -> None:
-        """Record that segments are read there now, each by id and tokens."""
+        """Record segments prefilled now, each with its id and tokens."""
         for segment, tokens in segments:
             if segment in self._segments:
                 self._segments.move_to_end(segment)
--- a/packages/buckthornwall/src/buckthornwall/pools/refusal.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/refusal.py
@@ -1,4 +1,4 @@
-"""Which requests are refused for overload, and when they are to come back."""
+"""Decide which requests are refused for overload, and their retry delay."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -22,18 +22,32 @@
 class RefusalReason(Enum):
     """Why a request is refused for overload."""
 
-    LATE = "late"  # its first token would come far too late
-    YIELDS = "yields"  # more urgent ones were refused lately
+    LATE = "late"  # its first token would come too late
+    YIELDS = "yields"  # more urgent requests were refused lately
 
 
 @dataclass(frozen=True, slots=True)
 class Overload:
-    """Why a request is refused, and when it is to come back; all in seconds.
+    """Why a request is refused, and its retry delay; times are in seconds.
 
-    `expected_s` is when its first token is expected at the engine chosen,
-    `count_based_s` the same by the counts alone, `own_prefill_s` the reading of its own
-    prompt, and `oldest_wait_s` how long the oldest request before it has waited.
-    `min_expected_s` is what is expected at the engine of the pool where it is least.
+    Attributes
+    ----------
+    reason : RefusalReason
+        Why it is refused.
+    expected_s : float
+        Expected time to its first token on the chosen engine.
+    count_based_s : float
+        The same by counts of pending tokens alone.
+    own_prefill_s : float
+        Prefill of its own prompt.
+    oldest_wait_s : float
+        Wait of the oldest request that is served before it.
+    target_s : float
+        Target of the time to first token.
+    min_expected_s : float
+        Lowest expected time to first token of all engines of the pool.
+    retry_after_s : float
+        When the client should retry.
     """
 
     reason: RefusalReason
@@ -49,16 +63,16 @@
 def find_overload(
     pools: PoolTable, traits: RequestTraits, choice: Choice, now: float
 ) -> Overload | None:
-    """Return why a request is refused at once, or None to take it.
+    """Return why a request is refused at once, or None to admit it.
 
     Parameters
     ----------
     pools
-        What is known of upstreams.
+        State of all upstreams.
     traits
-        The request; one with nothing more urgent than it is always taken.
+        The request. Requests of the most urgent rank are always admitted.
     choice
-        Where it would go.
+        Upstream that it would be sent to.
     now
         The time in seconds.
     """
@@ -87,7 +101,7 @@
 def record_decision(
     pools: PoolTable, traits: RequestTraits, is_admitted: bool, now: float
 ) -> None:
-    """Record that a prompt was let in, or refused for overload."""
+    """Record that a prompt was admitted, or refused for overload."""
     if traits.prompt is None:
         return
     resolution = traits.resolution
@@ -103,11 +117,11 @@
     usable: list[UpstreamView],
     now: float,
 ) -> RefusalReason | None:
-    """Return why a request is refused where it would go, or None to take it."""
+    """Return why a request is refused at its chosen engine, or None to admit it."""
     wait_s = expected_s(pools, traits, choice)
     target_s = traits.resolution.route.target_s
     pool, regions = traits.resolution.pool.id, traits.resolution.regions
-    # With nothing before it a prompt would only be refused for its own length.
+    # Without a queue a prompt would only be refused for its own prefill.
     has_no_queue = choice.wait_s <= choice.own_prefill_s and not choice.oldest_wait_s
     if has_no_queue or not is_overloaded(
         wait_s, choice.own_prefill_s, target_s, usable, now
@@ -121,17 +135,18 @@
 
 
 def _should_defer(pools: PoolTable, traits: RequestTraits, now: float) -> bool:
-    """Tell whether more urgent requests were refused lately, and this one is let in."""
+    """Return whether a request yields to more urgent ones that were refused lately."""
     resolution = traits.resolution
     ledger = pools.ledger(resolution.pool.id)
     return ledger.should_defer(resolution.rank, traits.prompt.prompt_tokens, now)
 
 
 def has_deficit(pools: PoolTable, traits: RequestTraits, now: float) -> bool:
-    """Tell whether less urgent requests were let in lately in place of this one.
+    """Return whether less urgent requests were admitted lately in place of this one.
 
-    Be it here, or by others: an instance that has few requests may have let in none.
-    What all refused is taken to be what this one did, times the instances.
+    Admissions of the peers count too, as the pending prefill on the engines, since an
+    instance with few requests may have admitted none. The tokens refused by all
+    instances are estimated as those refused here times the number of instances.
     """
     resolution = traits.resolution
     rank, tokens = resolution.rank, traits.prompt.prompt_tokens
--- a/packages/buckthornwall/src/buckthornwall/pools/reserved.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/reserved.py
@@ -1,11 +1,11 @@
-"""Engines kept free of long prompts, for streams that cannot run beside them.
-
-An engine reads prompts in pieces between the tokens of its running streams, and
-each piece stretches a step. Where a stream's contract allows no event to wait
-for that many stretched steps, or where its longest answer takes more of them than
-its timeout allows, it cannot be kept beside long prompts at all, whatever the
-order of urgency. Such streams are *pause-sensitive*: they go to a few engines of their
-own, as many as they fill. Who else may go there is a matter of cost (`placement`).
+"""Engines reserved for streams that cannot run beside the prefill of long prompts.
+
+An engine prefills prompts in chunks between the decode steps of its running streams,
+and each chunk makes a step longer. A stream is *pause-sensitive* if its contract does
+not allow an event to take that many prefill steps, or its longest response would exceed
+its timeout with them. Priorities cannot help there, so such streams go to a few
+reserved engines, as many as they need. Whether other prompts may go there depends on
+their cost (`placement`).
 """
 
 import math
@@ -20,32 +20,32 @@
 
 __all__ = ["ReservedEngines", "Split", "is_pause_sensitive"]
 
-# A stream is pause-sensitive if an event of long steps takes more than this part of its
-# longest pause: one gap in ten is longer than those steps, and a stream has dozens of
-# gaps.
+# A stream is pause-sensitive if an event of 90th-percentile prefill steps takes more
+# than this share of its longest allowed pause: one gap in ten is longer than that, and
+# a stream has dozens of gaps.
 SAFE_PAUSE_SHARE = 0.8
-# Quiet engines are filled to this part of their slots: what one loss cuts off stays
-# bounded, and a burst fits.
+# Target utilization of the slots of reserved engines. It bounds the streams that the
+# loss of one engine cuts off, and leaves room for bursts.
 TARGET_UTILIZATION = 0.4
-# Demand below this part of a stream is the rest of a decay, not a stream.
+# Less demand, in streams, is only the tail of the exponential decay.
 MIN_DEMAND = 0.02
-# At most this part of a pool is kept for pause-sensitive streams.
+# At most this share of a pool is reserved.
 MAX_RESERVED_SHARE = 1 / 3
-# Demand falls off with this time constant, so that the set does not flap.
+# Time constant with which demand decays, so that the reserved set does not flap.
 DEMAND_DECAY_S = 5.0
 
 
 def is_pause_sensitive(
     route: RequestRoute, pool: Pool, prompt: PromptShape | None, model: EngineModel
 ) -> bool:
-    """Tell whether a stream cannot be kept beside the reading of long prompts.
+    """Return whether a stream cannot run beside the prefill of long prompts.
 
     Parameters
     ----------
     route, pool, prompt
-        Its contract, where it goes, and what is known of it.
+        Its contract, its pool, and the shape of its prompt.
     model
-        What the pool's engines have shown of their steps.
+        Learned step times of the pool's engines.
     """
     if (
         route.response_mode is not ResponseMode.EVENT_STREAM
@@ -54,7 +54,7 @@
     ):
         return False
     if not prompt.is_decode_heavy:
-        return False  # it brings to such engines what they are kept free of
+        return False  # its own prefill would disturb the reserved engines
     event_s = pool.engine.tokens_per_event * model.p90_prefill_step_s
     if event_s > SAFE_PAUSE_SHARE * route.max_pause_s:
         return True
@@ -63,10 +63,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Split:
-    """The engines kept for pause-sensitive streams, and the others of a pool.
+    """The reserved engines, and the others of a pool.
 
-    `overflow` is the part of the pause-sensitive streams that the reserved engines have
-    no room for.
+    `overflow` is the share of pause-sensitive streams, 0 to 1, that exceeds the
+    capacity of the reserved engines.
     """
 
     reserved: list[UpstreamView]
@@ -81,9 +81,9 @@
     def eligible_engines(self, key: str, now: float) -> list[UpstreamView]:
         """Return the engines that a pause-sensitive stream may go to.
 
-        Those that overflow are drawn by their key: sent to the few engines kept that
-        were last told to have a free slot, they waited there for each other until
-        their callers left, while the others had room.
+        The overflow is sampled by the hash of its key, and may go to any engine. If all
+        streams went to the few reserved engines last reported to have a free slot, they
+        would queue there until their clients disconnect while other engines have room.
         """
         everywhere = [*self.reserved, *self.others]
         if hash_share(key) < self.overflow:
@@ -97,17 +97,17 @@
 
 
 class ReservedEngines:
-    """Which engines of one pool are kept for pause-sensitive streams.
+    """The engines of one pool that are reserved for pause-sensitive streams.
 
-    Every instance comes to nearly the same set: it is taken from the head of a
-    hash order, and only its size depends on the counts.
+    Every instance computes nearly the same set: the first engines of a rendezvous-hash
+    order. Only its size depends on load counts.
 
     Parameters
     ----------
     pool
-        Id of the pool, the key of the order.
+        Id of the pool, the key of the hash order.
     model
-        What its engines have shown of their steps.
+        Learned step times of its engines.
 
     """
 
@@ -124,17 +124,17 @@
         self._order: list[UpstreamId] = []
 
     def set_contracts(self, tokens_per_event: int, pauses: Iterable[float]) -> None:
-        """Take the longest pauses that streams of this pool allow, in seconds."""
+        """Set the longest pauses that streams of this pool allow, in seconds."""
         self._event_tokens = tokens_per_event
         self._pauses = sorted(pauses)
 
     @property
     def max_pause_s(self) -> float:
-        """The shortest of the longest pauses that pause-sensitive streams allow.
+        """Lowest pause limit of pause-sensitive streams, in seconds.
 
-        By contract, not by what came here: one of many instances sees a stream that
-        must not pause every few seconds, and until its first one would send long
-        prompts to the reserved engines for them.
+        It follows from the contracts, not only from the streams seen here: one of many
+        instances sees a pause-sensitive stream only every few seconds, and before its
+        first one it would send long prompts to the reserved engines.
         """
         event_s = self._event_tokens * self.model.p90_prefill_step_s
         min_pause_s = next(iter(self._pauses), math.inf)
@@ -148,7 +148,7 @@
         now: float,
         arriving: RequestRoute | None = None,
     ) -> Split:
-        """Return which engines are kept now, of those that a request may go to.
+        """Return which engines are reserved now, of those that a request may go to.
 
         Parameters
         ----------
@@ -157,9 +157,10 @@
         now
             The time in seconds.
         arriving
-            Route of a pause-sensitive stream that is to be placed now: the first one of
-            all finds an engine kept for it, or would run beside the reading of prompts
-            that no engine holds yet.
+            Route of a pause-sensitive stream that is placed now, if it is one. It
+            counts as demand, so that even the first one finds a reserved engine;
+            otherwise it would run beside the prefill of prompts that no engine has
+            cached yet.
         """
         if arriving is not None:
             self._min_seen_pause_s = min(self._min_seen_pause_s, arriving.max_pause_s)
@@ -179,7 +180,7 @@
         )
 
     def _hash_order(self, ids: list[UpstreamId]) -> list[UpstreamId]:
-        """Return engines in their hash order, kept from one request to the next."""
+        """Return engines in rendezvous order; cached while the ids are the same."""
         if ids != self._ordered_ids:
             self._ordered_ids = ids
             self._order = rendezvous_order(self.pool, ids)
@@ -188,7 +189,7 @@
     def _update_demand(
         self, views: list[UpstreamView], now: float, arriving: bool
     ) -> None:
-        # A stream beside long prompts lasts longer than it would on a quiet engine.
+        # A stream beside long prompts lasts longer than it would on a reserved engine.
         slowdown = self.model.prefill_step_s / self.model.decode_step_s
         running = arriving + sum(
             view.load.total_pause_sensitive()
--- a/packages/buckthornwall/src/buckthornwall/pools/traits.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/traits.py
@@ -1,4 +1,4 @@
-"""What decisions know of a request."""
+"""Properties of a request that placement and refusal depend on."""
 
 from dataclasses import dataclass
 
@@ -12,10 +12,10 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestTraits:
-    """What decisions know of a request.
+    """Properties of a request that decisions depend on.
 
-    `prompt` is None for a plain service. `pause_sensitive` tells that it is a stream
-    which cannot be kept beside the reading of long prompts.
+    `prompt` is None for a plain service. `pause_sensitive` is whether it is a stream
+    that cannot run on an engine that prefills long prompts.
     """
 
     id: str
--- a/packages/buckthornwall/src/buckthornwall/pools/waits.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/waits.py
@@ -1,8 +1,8 @@
-"""How long requests at one upstream have waited for their first token.
+"""Track how long requests at one upstream have waited for their first token.
 
-What the counts of pending prefill tokens let expect leaves out much that delays a
-prompt: parts that an engine no longer holds, memory that is full, more urgent prompts
-that come later. The age of the oldest request that still waits shows all of it.
+Counts of pending prefill tokens miss much that delays a prompt: segments evicted from
+the prefix cache, full memory, more urgent prompts that arrive later. The age of the
+oldest request that still waits includes all of it.
 """
 
 __all__ = ["Waits"]
@@ -11,26 +11,27 @@
 class Waits:
     """Requests of one instance that wait at one upstream, by rank.
 
-    One that was overtaken by a later one of its rank is not counted: its answer
-    may be lost, and says nothing of what comes after it.
+    A request overtaken by a later one of its rank is not counted: its response may be
+    lost, and then its age does not predict the wait of new requests.
     """
 
     def __init__(self) -> None:
         self._sent: dict[int, dict[object, float]] = {}
 
     def begin(self, rank: int, request: object, now: float) -> None:
-        """Record that a request was sent at `now`, the latest of its rank."""
+        """Record that a request was sent at `now`, later than all of its rank."""
         self._sent.setdefault(rank, {})[request] = now
 
     def end(self, rank: int, request: object, is_served: bool) -> None:
-        """Record that a request waits no longer.
+        """Record that a request no longer waits.
 
         Parameters
         ----------
         rank, request
-            As it began.
+            As passed to `begin`.
         is_served
-            Whether its first token came; earlier ones are overtaken then.
+            Whether its first token arrived; earlier requests of its rank are overtaken
+            then.
         """
         waiting = self._sent.get(rank, {})
         sent_at = waiting.pop(request, None)
