--- a/packages/buckthornwall/src/buckthornwall/peers/counts.py
+++ b/packages/buckthornwall/src/buckthornwall/peers/counts.py
@@ -29,7 +29,7 @@
         self._upstreams: dict[bool, tuple[int, list[UpstreamId]]] = {}
 
     def assign_sequence(self, digest: Digest) -> None:
-        """Set the sequence by which heartbeats refer to a digest's order of upstreams."""
+        """Set the sequence by which heartbeats refer to the order of upstreams."""
         self._sequence += 1
         digest.sequence = self._sequence
         self._upstreams[digest.is_fleet] = (self._sequence, list(digest.loads))
--- a/packages/buckthornwall/src/buckthornwall/peers/table.py
+++ b/packages/buckthornwall/src/buckthornwall/peers/table.py
@@ -285,7 +285,7 @@
         )
 
     def assign_sequence(self, digest: Digest) -> None:
-        """Set the sequence by which heartbeats refer to a digest's order of upstreams."""
+        """Set the sequence by which heartbeats refer to the order of upstreams."""
         self._counts.assign_sequence(digest)
 
     def add_counts(
--- a/packages/buckthornwall/src/buckthornwall/peers/tests/test_packing.py
+++ b/packages/buckthornwall/src/buckthornwall/peers/tests/test_packing.py
@@ -1,4 +1,4 @@
-"""Tests of counts in few bytes, and of how often they are told."""
+"""Tests of packed loads in heartbeats, and of the pacing of reports."""
 
 import contextlib
 import random
@@ -29,72 +29,74 @@
 
 from .test_peers import FIRST, SECOND, beacon, table
 
-NAMES = [UpstreamId(name) for name in ("e1", "e2", "e3")]
-E1, E2, E3 = NAMES
-TURN_S = 0.1
+UPSTREAMS = [UpstreamId(name) for name in ("e1", "e2", "e3")]
+E1, E2, E3 = UPSTREAMS
+INTERVAL_S = 0.1
 
 
 def random_loads(count, seed=1):
-    draw = random.Random(seed)
+    rng = random.Random(seed)
     return {
-        UpstreamId(f"i-{draw.getrandbits(32):08x}"): Work(
-            draw.randrange(24),
-            {rank: draw.randrange(30_000) for rank in (2, 5, 8)},
-            draw.randrange(3),
-            {5: draw.randrange(200, 2000)},
-            draw.randrange(270_000),
+        UpstreamId(f"i-{rng.getrandbits(32):08x}"): Work(
+            rng.randrange(24),
+            {rank: rng.randrange(30_000) for rank in (2, 5, 8)},
+            rng.randrange(3),
+            {5: rng.randrange(200, 2000)},
+            rng.randrange(270_000),
         )
         for _ in range(count)
     }
 
 
-def test_counts_come_back_in_their_units_and_empty_ones_do_not():
+def test_loads_round_trip_in_units_without_empty_ones():
     loads = {E1: Work(3, {0: 96, 7: 1}, 2, {7: 810}, 1000), E3: Work(1)}
-    back = unpack_loads(pack_loads(loads, NAMES), NAMES)
-    assert back == {E1: Work(3, {0: 96, 7: 32}, 2, {7: 820}, 1024), E3: Work(1)}
+    decoded = unpack_loads(pack_loads(loads, UPSTREAMS), UPSTREAMS)
+    assert decoded == {E1: Work(3, {0: 96, 7: 32}, 2, {7: 820}, 1024), E3: Work(1)}
 
 
-def test_counts_out_of_range_are_the_largest_there_are():
+def test_loads_out_of_range_saturate():
     loads = {E2: Work(70_000, {300: 9, 1: 10**9}, 300, {1: 10**6}, 10**9)}
-    (work,) = unpack_loads(pack_loads(loads, NAMES), NAMES).values()
+    (work,) = unpack_loads(pack_loads(loads, UPSTREAMS), UPSTREAMS).values()
     assert (work.requests, work.pause_sensitive) == (65_535, 255)
     assert work.pending_prefill == {1: 65_535 * 32}
     assert work.oldest_wait_ms == {1: 255 * 20}
     assert work.memory == 65_535 * 256
 
 
-def test_parts_come_back_and_those_of_other_forms_are_told_apart():
+def test_prefixes_round_trip_and_unpackable_ones_are_returned():
     cached_prefixes = {
         E1: [("00c0ffee", 4000), ("s", 900)],
         UpstreamId("e9"): [("0badf00d", 64)],
     }
-    packed, others = pack_cached_prefixes(cached_prefixes, NAMES)
-    assert unpack_cached_prefixes(packed, NAMES) == {E1: [("00c0ffee", 4000)]}
+    packed, others = pack_cached_prefixes(cached_prefixes, UPSTREAMS)
+    assert unpack_cached_prefixes(packed, UPSTREAMS) == {E1: [("00c0ffee", 4000)]}
     assert others == {E1: [("s", 900)], "e9": [("0badf00d", 64)]}
-    assert unpack_cached_prefixes(pack_cached_prefixes({}, NAMES)[0], NAMES) == {}
+    assert (
+        unpack_cached_prefixes(pack_cached_prefixes({}, UPSTREAMS)[0], UPSTREAMS) == {}
+    )
 
 
-COUNTS = pack_loads({E1: Work(1, {0: 64})}, NAMES)
-PARTS, _ = pack_cached_prefixes({E3: [("00c0ffee", 4000)]}, NAMES)
+LOADS = pack_loads({E1: Work(1, {0: 64})}, UPSTREAMS)
+PREFIXES, _ = pack_cached_prefixes({E3: [("00c0ffee", 4000)]}, UPSTREAMS)
 
 
-@pytest.mark.parametrize("data", [b"", b"\xff", COUNTS[:-1], COUNTS + b"\x00"])
-def test_bytes_that_are_no_counts_are_refused(data):
+@pytest.mark.parametrize("data", [b"", b"\xff", LOADS[:-1], LOADS + b"\x00"])
+def test_malformed_loads_are_refused(data):
     with pytest.raises(PeerError):
-        unpack_loads(data, NAMES)
+        unpack_loads(data, UPSTREAMS)
 
 
-@pytest.mark.parametrize("data", [b"", PARTS[:-1], PARTS + b"\x00"])
-def test_bytes_that_are_no_parts_are_refused(data):
+@pytest.mark.parametrize("data", [b"", PREFIXES[:-1], PREFIXES + b"\x00"])
+def test_malformed_prefixes_are_refused(data):
     with pytest.raises(PeerError):
-        unpack_cached_prefixes(data, NAMES)
+        unpack_cached_prefixes(data, UPSTREAMS)
 
 
-def test_counts_and_parts_of_another_list_are_refused():
+def test_loads_and_prefixes_of_another_list_are_refused():
     with pytest.raises(PeerError):
-        unpack_loads(COUNTS, NAMES[:2])
+        unpack_loads(LOADS, UPSTREAMS[:2])
     with pytest.raises(PeerError):
-        unpack_cached_prefixes(PARTS, NAMES[:2])
+        unpack_cached_prefixes(PREFIXES, UPSTREAMS[:2])
 
 
 WORKS = st.builds(
@@ -107,15 +109,15 @@
 )
 
 
-@given(st.dictionaries(st.sampled_from(NAMES), WORKS))
-def test_whatever_is_counted_comes_back_in_its_units(loads):
-    back = unpack_loads(pack_loads(loads, NAMES), NAMES)
-    shown = {
+@given(st.dictionaries(st.sampled_from(UPSTREAMS), WORKS))
+def test_any_loads_round_trip_in_units(loads):
+    decoded = unpack_loads(pack_loads(loads, UPSTREAMS), UPSTREAMS)
+    expected = {
         name for name, work in loads.items() if work.requests or work.pending_prefill
     }
-    assert back.keys() == shown
-    for name in shown:
-        sent, got = loads[name], back[name]
+    assert decoded.keys() == expected
+    for name in expected:
+        sent, got = loads[name], decoded[name]
         assert (got.requests, got.pause_sensitive) == (
             sent.requests,
             sent.pause_sensitive,
@@ -129,24 +131,24 @@
 
 
 @given(st.binary(max_size=80))
-def test_any_bytes_are_counts_or_are_refused(data):
+def test_any_bytes_are_unpacked_or_refused(data):
     for unpack in (unpack_loads, unpack_cached_prefixes):
         try:
-            found = unpack(data, NAMES)
+            found = unpack(data, UPSTREAMS)
         except PeerError:
             continue
-        assert set(found) <= set(NAMES)
+        assert set(found) <= set(UPSTREAMS)
 
 
 @given(st.binary(max_size=80))
-def test_any_datagram_is_a_message_or_is_refused(data):
+def test_any_datagram_is_decoded_or_refused(data):
     for head in (b"", b"\x78\x9c"):
         with contextlib.suppress(PeerError):
             decode(head + data, PeerMessage)
 
 
 @pytest.mark.parametrize("cut", [3, 40])
-def test_a_compressed_message_that_is_cut_is_refused(cut):
+def test_truncated_compressed_message_is_refused(cut):
     digest = table(FIRST).make_digest(beacon(FIRST, random_loads(40)), True, 0.0)
     data = encode(digest)
     assert decode(data, PeerMessage) == digest
@@ -154,166 +156,181 @@
         decode(data[:-cut], PeerMessage)
 
 
-def test_a_short_datagram_that_stands_for_megabytes_is_refused():
-    """64 KB of it would have taken 16 MB of an instance that has 128."""
+def test_decompression_bomb_is_refused():
+    """A datagram of 64 KB would take 16 MB of an instance that has 128 MB."""
     bomb = zlib.compress(cbor2.dumps([0] * 2 * MAX_DATAGRAM_BYTES))
     assert len(bomb) < 65_536
     with pytest.raises(PeerError, match="too long"):
         decode(bomb, PeerMessage)
 
 
-def told(speaker: PeerTable, own, is_numbered=True) -> tuple:
-    digest = speaker.make_digest(own, is_fleet=True, now=0.0)
+def fleet_digest(speaker: PeerTable, local_beacon, is_numbered=True) -> tuple:
+    digest = speaker.make_digest(local_beacon, is_fleet=True, now=0.0)
     if is_numbered:
         speaker.assign_sequence(digest)
     return digest
 
 
-def counts(speaker: PeerTable, own, now) -> Heartbeat:
-    heartbeat = speaker.make_heartbeat(own, True, now)
-    speaker.add_counts(heartbeat, own, now)
+def heartbeat_with_loads(speaker: PeerTable, local_beacon, now) -> Heartbeat:
+    heartbeat = speaker.make_heartbeat(local_beacon, True, now)
+    speaker.add_counts(heartbeat, local_beacon, now)
     return heartbeat
 
 
-def test_counts_between_digests_are_taken_with_upstreams_that_are_new():
-    """With a digest a second alone, 195 instances knew of work 1.0 s late."""
+def test_heartbeat_updates_loads_of_known_and_new_upstreams():
+    """With only one digest a second, loads were 1.0 s old at 195 instances."""
     first, second = table(FIRST), table(SECOND)
-    second.receive_digest(told(first, beacon(FIRST, {E1: Work(1, {5: 320})})), 0.0)
-    own = beacon(FIRST, {E1: Work(2, {5: 640}), E2: Work(1, {5: 64})})
-    own.cached_prefixes = {E2: [("00c0ffee", 4000)], E1: [("s", 900)]}
-    assert second.receive_heartbeat(counts(first, own, 0.2), 0.2) == own.cached_prefixes
+    second.receive_digest(
+        fleet_digest(first, beacon(FIRST, {E1: Work(1, {5: 320})})), 0.0
+    )
+    local_beacon = beacon(FIRST, {E1: Work(2, {5: 640}), E2: Work(1, {5: 64})})
+    local_beacon.cached_prefixes = {E2: [("00c0ffee", 4000)], E1: [("s", 900)]}
+    assert (
+        second.receive_heartbeat(heartbeat_with_loads(first, local_beacon, 0.2), 0.2)
+        == local_beacon.cached_prefixes
+    )
     others = second.peer_work(beacon(SECOND), 0.2)
     assert others[E1].pending_prefill == {5: 640}
     assert others[E2].requests == 1
 
 
-def test_who_cannot_be_reached_is_counted_by_instances_in_digests_and_counts():
-    """Left to find out for itself, each instance offers requests to dead engines."""
+def test_unreachable_upstreams_are_counted_in_digests_and_heartbeats():
+    """Otherwise each instance sends requests to dead engines to find them out."""
     first, second = table(FIRST), table(SECOND)
     member = beacon("10.0.0.9:7340")
     member.unreachable = [E1, E2]
     first.receive_beacon(member, 0.0)
-    own = beacon(FIRST)
-    own.unreachable = [E1]
-    second.receive_digest(told(first, own), 0.0)
+    local_beacon = beacon(FIRST)
+    local_beacon.unreachable = [E1]
+    second.receive_digest(fleet_digest(first, local_beacon), 0.0)
     assert second.unreachable(beacon(SECOND), 0.1) == {E1: 2, E2: 1}
-    own.unreachable = []
-    second.receive_heartbeat(counts(first, own, 0.2), 0.2)
+    local_beacon.unreachable = []
+    second.receive_heartbeat(heartbeat_with_loads(first, local_beacon, 0.2), 0.2)
     assert second.unreachable(beacon(SECOND), 0.2) == {E1: 1, E2: 1}
-    assert first.unreachable(own, 0.2) == {E1: 1, E2: 1}
+    assert first.unreachable(local_beacon, 0.2) == {E1: 1, E2: 1}
 
 
-def test_counts_of_a_digest_that_was_missed_change_nothing():
+def test_heartbeat_after_missed_digest_changes_no_loads():
     first, second = table(FIRST), table(SECOND)
-    second.receive_digest(told(first, beacon(FIRST, {E1: Work(1)})), 0.0)
-    told(first, beacon(FIRST, {E2: Work(1), E1: Work(3)}))  # lost on the way
-    heard = second.receive_heartbeat(counts(first, beacon(FIRST), 0.2), 0.2)
-    assert heard is None
+    second.receive_digest(fleet_digest(first, beacon(FIRST, {E1: Work(1)})), 0.0)
+    fleet_digest(first, beacon(FIRST, {E2: Work(1), E1: Work(3)}))  # lost
+    cached_prefixes = second.receive_heartbeat(
+        heartbeat_with_loads(first, beacon(FIRST), 0.2), 0.2
+    )
+    assert cached_prefixes is None
     assert second.peer_work(beacon(SECOND), 0.2)[E1].requests == 1
     assert second.staleness_s(0.2) == 0.0
 
 
-def test_a_digest_that_is_passed_on_is_named_by_no_counts():
-    """Its upstreams may stand in another order by then."""
+def test_heartbeat_does_not_refer_to_relayed_digest():
+    """The order of its upstreams may have changed by then."""
     first, second, third = table(FIRST), table(SECOND), table("10.9.0.9:1")
-    digest = told(first, beacon(FIRST, {E1: Work(1)}))
+    digest = fleet_digest(first, beacon(FIRST, {E1: Work(1)}))
     second.receive_digest(digest, 0.0)
     assert second.relayed_digest(beacon(SECOND), 0.1).sequence == 0
     third.receive_digest(second.relayed_digest(beacon(SECOND), 0.1), 0.1)
-    assert third.receive_heartbeat(counts(first, beacon(FIRST), 0.2), 0.2) is None
+    assert (
+        third.receive_heartbeat(heartbeat_with_loads(first, beacon(FIRST), 0.2), 0.2)
+        is None
+    )
 
 
-def test_counts_of_another_zone_reach_the_own():
-    first, far = table(FIRST), table("10.1.0.1:7340", "far")
-    own = beacon(far.address, {E1: Work(5)}, "far")
-    digest = far.make_digest(own, is_fleet=False, now=0.0)
-    far.assign_sequence(digest)
+def test_heartbeat_of_remote_zone_updates_local_digest():
+    first, remote = table(FIRST), table("10.1.0.1:7340", "far")
+    local_beacon = beacon(remote.address, {E1: Work(5)}, "far")
+    digest = remote.make_digest(local_beacon, is_fleet=False, now=0.0)
+    remote.assign_sequence(digest)
     first.receive_digest(digest, 0.0)
-    own.loads = {E1: Work(7)}
-    own.cached_prefixes = {E1: [("00c0ffee", 4000)]}
-    heartbeat = far.make_heartbeat(own, False, 0.1)
-    far.add_counts(heartbeat, own, 0.1)
+    local_beacon.loads = {E1: Work(7)}
+    local_beacon.cached_prefixes = {E1: [("00c0ffee", 4000)]}
+    heartbeat = remote.make_heartbeat(local_beacon, False, 0.1)
+    remote.add_counts(heartbeat, local_beacon, 0.1)
     first.receive_heartbeat(heartbeat, 0.1)
-    whole = first.make_digest(beacon(FIRST), True, 0.1)
-    assert whole.loads[E1].requests == 7
-    assert whole.cached_prefixes == own.cached_prefixes
+    digest_of_fleet = first.make_digest(beacon(FIRST), True, 0.1)
+    assert digest_of_fleet.loads[E1].requests == 7
+    assert digest_of_fleet.cached_prefixes == local_beacon.cached_prefixes
 
 
-def test_counts_of_a_large_fleet_take_a_quarter_of_its_digest():
+def test_heartbeat_of_large_fleet_is_far_smaller_than_its_digest():
     speaker = table(FIRST)
     for number in range(32):
         speaker.receive_beacon(beacon(f"10.3.0.{number + 50}:7340"), 0.0)
-    own = beacon(FIRST, random_loads(59))
-    whole = len(encode(told(speaker, own)))
-    assert len(encode(counts(speaker, own, 0.1))) < 0.4 * whole
+    local_beacon = beacon(FIRST, random_loads(59))
+    digest_bytes = len(encode(fleet_digest(speaker, local_beacon)))
+    assert (
+        len(encode(heartbeat_with_loads(speaker, local_beacon, 0.1)))
+        < 0.4 * digest_bytes
+    )
 
 
-def play(pacing, digest_bytes, counts_bytes, seconds=30.0):
-    """Return what was told when, and how many bytes of it."""
+def simulate_pacing(pacing, digest_bytes, loads_bytes, seconds=30.0):
+    """Return the reports as time and kind, and the bytes a second."""
     sizes = {
         ReportKind.DIGEST: digest_bytes,
-        ReportKind.COUNTS: counts_bytes,
+        ReportKind.COUNTS: loads_bytes,
         ReportKind.HEARTBEAT: 70,
     }
-    words, total, now = [], 0, 0.0
+    reports, total, now = [], 0, 0.0
     pacing.reset(now)
     while now < seconds:
-        form = pacing.due(now)
-        if form is not None:
-            pacing.record_sent(form, sizes[form], now)
-            words.append((now, form))
-            total += sizes[form]
-        now += TURN_S
-    return words, total / seconds
+        kind = pacing.due(now)
+        if kind is not None:
+            pacing.record_sent(kind, sizes[kind], now)
+            reports.append((now, kind))
+            total += sizes[kind]
+        now += INTERVAL_S
+    return reports, total / seconds
 
 
-def longest_gap(words, kinds):
-    times = [at for at, form in words if form in kinds]
+def longest_gap(reports, kinds):
+    times = [at for at, kind in reports if kind in kinds]
     return max(later - at for at, later in zip(times, times[1:], strict=False))
 
 
-def test_short_digests_come_with_every_turn():
-    words, _ = play(ReportPacing(TURN_S, 0.2, 5000.0), 400, 200)
-    assert {form for _, form in words} == {ReportKind.DIGEST}
-    assert longest_gap(words, ReportKind) < 1.5 * TURN_S
+def test_short_digests_are_sent_at_every_interval():
+    reports, _ = simulate_pacing(ReportPacing(INTERVAL_S, 0.2, 5000.0), 400, 200)
+    assert {kind for _, kind in reports} == {ReportKind.DIGEST}
+    assert longest_gap(reports, ReportKind) < 1.5 * INTERVAL_S
 
 
-@pytest.mark.parametrize(("digest_bytes", "counts_bytes"), [(2700, 700), (900, 300)])
-def test_counts_come_between_long_digests_within_the_bytes(digest_bytes, counts_bytes):
-    words, bytes_per_s = play(
-        ReportPacing(TURN_S, 0.2, 5000.0), digest_bytes, counts_bytes
+@pytest.mark.parametrize(("digest_bytes", "loads_bytes"), [(2700, 700), (900, 300)])
+def test_loads_are_sent_between_long_digests_within_byte_rate(
+    digest_bytes, loads_bytes
+):
+    reports, bytes_per_s = simulate_pacing(
+        ReportPacing(INTERVAL_S, 0.2, 5000.0), digest_bytes, loads_bytes
     )
-    assert longest_gap(words, {ReportKind.DIGEST, ReportKind.COUNTS}) <= 0.3
+    assert longest_gap(reports, {ReportKind.DIGEST, ReportKind.COUNTS}) <= 0.3
     assert bytes_per_s < 1.2 * 5000.0
 
 
-def test_nobody_goes_without_a_word_however_long_counts_are():
-    words, _ = play(ReportPacing(TURN_S, 0.2, 5000.0), 15_000, 6_000)
-    assert longest_gap(words, ReportKind) <= 0.3
-    assert longest_gap(words, {ReportKind.DIGEST}) <= MAX_DIGEST_INTERVAL_S + 0.2
+def test_long_loads_do_not_delay_heartbeats():
+    reports, _ = simulate_pacing(ReportPacing(INTERVAL_S, 0.2, 5000.0), 15_000, 6_000)
+    assert longest_gap(reports, ReportKind) <= 0.3
+    assert longest_gap(reports, {ReportKind.DIGEST}) <= MAX_DIGEST_INTERVAL_S + 0.2
 
 
-def test_a_new_speaker_is_told_of_by_digests_first():
-    pacing = ReportPacing(TURN_S, 0.2, 5000.0)
-    words, _ = play(pacing, 2700, 700)
-    digests = [at for at, form in words if form is ReportKind.DIGEST]
+def test_new_speaker_sends_digests_first():
+    pacing = ReportPacing(INTERVAL_S, 0.2, 5000.0)
+    reports, _ = simulate_pacing(pacing, 2700, 700)
+    digests = [at for at, kind in reports if kind is ReportKind.DIGEST]
     assert sum(at <= 3.0 for at in digests) >= 4
     pacing.reset(40.0)
     assert pacing.due(40.0) is ReportKind.DIGEST
 
 
-def test_an_instance_of_the_zone_named_otherwise_is_not_heard():
+def test_heartbeat_with_other_zone_of_same_sender_is_ignored():
     first, second = table(FIRST), table(SECOND)
-    second.receive_digest(told(first, beacon(FIRST, {E1: Work(1)})), 0.0)
-    heartbeat = counts(first, beacon(FIRST, {E1: Work(4)}), 0.1)
+    second.receive_digest(fleet_digest(first, beacon(FIRST, {E1: Work(1)})), 0.0)
+    heartbeat = heartbeat_with_loads(first, beacon(FIRST, {E1: Work(4)}), 0.1)
     heartbeat.zone = ZoneId("elsewhere")
     assert second.receive_heartbeat(heartbeat, 0.1) is None
     assert second.peer_work(beacon(SECOND), 0.1)[E1].requests == 1
 
 
-def test_whoever_is_new_is_sent_the_last_digest_once():
-    """Zones known of each other by turns never met a digest sent each 2 s."""
-    recipients = RecipientGroup(False, ReportPacing(TURN_S, 0.2, 5000.0))
+def test_new_recipient_is_sent_last_digest_once():
+    """Zones that knew each other intermittently missed digests sent every 2 s."""
+    recipients = RecipientGroup(False, ReportPacing(INTERVAL_S, 0.2, 5000.0))
     assert recipients.new_recipients(["a"]) == []
     recipients.record_sent(ReportKind.DIGEST, b"digest", ["a"], 0.0)
     assert recipients.new_recipients(["a", "b"]) == ["b"]
--- a/packages/buckthornwall/src/buckthornwall/peers/tests/test_peers.py
+++ b/packages/buckthornwall/src/buckthornwall/peers/tests/test_peers.py
@@ -1,4 +1,4 @@
-"""Tests of who speaks for a zone, what sums reach whom, who knows more."""
+"""Tests of the election of speakers and of the aggregation of reports."""
 
 import pytest
 
@@ -13,7 +13,7 @@
 ENGINE = UpstreamId("e")
 SILENCE_S = 0.8
 STAGGER_S = 0.1
-# Three addresses, the highest in the order first.
+# Three addresses, that of the highest priority first.
 FIRST, SECOND, THIRD = sorted(
     (f"10.0.0.{n}:7340" for n in (1, 2, 3)),
     key=lambda address: election_priority(address, 1.0),
@@ -49,7 +49,7 @@
     return PeerTable(address, weight, ZoneId(zone), SILENCE_S, STAGGER_S)
 
 
-def test_messages_come_back_as_they_were_sent():
+def test_messages_round_trip():
     sent = beacon(FIRST, {ENGINE: Work(3, {5: 900}, 0)})
     digest = table(FIRST).make_digest(sent, is_fleet=True, now=0.0)
     entry = UpstreamEntry(
@@ -67,12 +67,12 @@
 
 
 @pytest.mark.parametrize("data", [b"", b"\xff\xff", b"\x80", OTHER])
-def test_other_bytes_are_refused(data):
+def test_malformed_messages_are_refused(data):
     with pytest.raises(PeerError):
         decode(data, Beacon | Digest)
 
 
-def test_the_highest_of_a_zone_speaks_and_the_others_tell_it():
+def test_instance_with_highest_priority_becomes_speaker():
     first, second = table(FIRST), table(SECOND)
     assert first.is_speaker(0.0)
     assert second.is_speaker(0.0)
@@ -82,7 +82,7 @@
     assert second.speaker_address(0.1) == FIRST
 
 
-def test_who_can_carry_most_speaks():
+def test_instance_with_highest_weight_becomes_speaker():
     light, heavy = table(FIRST), table(SECOND, weight=200.0)
     heavy.receive_digest(light.make_digest(beacon(FIRST), True, now=0.0), 0.0)
     light.receive_digest(heavy.make_digest(beacon(SECOND), True, now=0.0), 0.0)
@@ -90,7 +90,7 @@
     assert light.speaker_address(0.1) == SECOND
 
 
-def test_a_silent_speaker_is_followed_one_after_the_other():
+def test_take_over_from_silent_speaker_is_staggered():
     first, second, third = table(FIRST), table(SECOND), table(THIRD)
     first.receive_beacon(beacon(SECOND), 0.0)
     first.receive_beacon(beacon(THIRD), 0.0)
@@ -103,69 +103,69 @@
     assert third.is_speaker(SILENCE_S + 1.5 * STAGGER_S)
 
 
-def test_a_lower_speaker_does_not_replace_a_higher_one_that_is_live():
+def test_speaker_of_lower_priority_does_not_replace_live_one():
     third = table(THIRD)
     third.receive_digest(table(FIRST).make_digest(beacon(FIRST), True, now=0.0), 0.0)
     third.receive_digest(table(SECOND).make_digest(beacon(SECOND), True, now=0.0), 0.1)
     assert third.speaker_address(0.2) == FIRST
 
 
-def test_work_adds_up_over_a_zone_and_goes_with_its_member():
+def test_work_is_summed_over_zone_and_dropped_with_its_member():
     first = table(FIRST)
     first.receive_beacon(beacon(SECOND, {ENGINE: Work(2, {0: 100, 5: 50}, 0)}), 0.0)
     first.receive_beacon(beacon(THIRD, {ENGINE: Work(1, {5: 25}, 0)}), 0.5)
-    own = beacon(FIRST, {ENGINE: Work(4, {5: 5}, 0)})
-    assert first.make_digest(own, False, now=0.0).loads[ENGINE] == Work(
+    local_beacon = beacon(FIRST, {ENGINE: Work(4, {5: 5}, 0)})
+    assert first.make_digest(local_beacon, False, now=0.0).loads[ENGINE] == Work(
         7, {0: 100, 5: 80}, 0
     )
-    others = first.peer_work(own, 0.6)[ENGINE]
-    assert (others.requests, others.pending_prefill) == (3, {0: 100, 5: 75})
+    peers = first.peer_work(local_beacon, 0.6)[ENGINE]
+    assert (peers.requests, peers.pending_prefill) == (3, {0: 100, 5: 75})
     assert first.expire(1.0) == [SECOND]
-    assert first.peer_work(own, 1.0)[ENGINE].requests == 1
+    assert first.peer_work(local_beacon, 1.0)[ENGINE].requests == 1
 
 
-def test_the_oldest_wait_of_any_instance_is_told():
+def test_digest_holds_oldest_wait_of_any_instance():
     first = table(FIRST)
     first.receive_beacon(
         beacon(SECOND, {ENGINE: Work(1, {5: 9}, 0, {5: 700}, 90)}), 0.0
     )
-    own = beacon(FIRST, {ENGINE: Work(1, {5: 9}, 0, {2: 40, 5: 300}, 50)})
-    told = first.make_digest(own, True, now=0.0).loads[ENGINE]
-    assert (told.oldest_wait_ms, told.memory) == ({2: 40, 5: 700}, 140)
-    others = first.peer_work(own, 0.1)[ENGINE]
-    assert (others.oldest_wait_s, others.memory) == ({2: 0.04, 5: 0.7}, 90)
+    local_beacon = beacon(FIRST, {ENGINE: Work(1, {5: 9}, 0, {2: 40, 5: 300}, 50)})
+    reported = first.make_digest(local_beacon, True, now=0.0).loads[ENGINE]
+    assert (reported.oldest_wait_ms, reported.memory) == ({2: 40, 5: 700}, 140)
+    peers = first.peer_work(local_beacon, 0.1)[ENGINE]
+    assert (peers.oldest_wait_s, peers.memory) == ({2: 0.04, 5: 0.7}, 90)
 
 
-def test_a_member_takes_its_own_part_off_the_sum():
+def test_member_subtracts_its_reported_work_from_sum():
     first, second = table(FIRST), table(SECOND)
-    told = beacon(SECOND, {ENGINE: Work(2, {5: 50}, 0)})
-    first.receive_beacon(told, 0.0)
-    second.reported_work = told.loads
+    reported = beacon(SECOND, {ENGINE: Work(2, {5: 50}, 0)})
+    first.receive_beacon(reported, 0.0)
+    second.reported_work = reported.loads
     second.receive_digest(
         first.make_digest(beacon(FIRST, {ENGINE: Work(1, {}, 0)}), True, now=0.0), 0.0
     )
-    others = second.peer_work(beacon(SECOND), 0.1)[ENGINE]
-    assert (others.requests, others.pending_prefill) == (1, {})
+    peers = second.peer_work(beacon(SECOND), 0.1)[ENGINE]
+    assert (peers.requests, peers.pending_prefill) == (1, {})
 
 
-def test_zones_are_added_once_and_only_from_their_speakers():
+def test_remote_zone_is_added_once_and_not_from_fleet_digest():
     first = table(FIRST)
-    far = table("10.1.0.1:7340", "far")
-    zone_digest = far.make_digest(
-        beacon(far.address, {ENGINE: Work(5, {}, 0)}, "far"), False, now=0.0
+    remote = table("10.1.0.1:7340", "far")
+    zone_digest = remote.make_digest(
+        beacon(remote.address, {ENGINE: Work(5, {}, 0)}, "far"), False, now=0.0
     )
-    fleet_digest = far.make_digest(
-        beacon(far.address, {ENGINE: Work(9, {}, 0)}, "far"), True, now=0.0
+    fleet_digest = remote.make_digest(
+        beacon(remote.address, {ENGINE: Work(9, {}, 0)}, "far"), True, now=0.0
     )
     for digest in (zone_digest, fleet_digest, zone_digest):
         first.receive_digest(digest, 0.0)
-    whole = first.make_digest(beacon(FIRST), True, now=0.0)
-    assert whole.loads[ENGINE].requests == 5
-    assert whole.count == 2
-    assert whole.speakers == {"z": FIRST, "far": far.address}
+    digest = first.make_digest(beacon(FIRST), True, now=0.0)
+    assert digest.loads[ENGINE].requests == 5
+    assert digest.count == 2
+    assert digest.speakers == {"z": FIRST, "far": remote.address}
 
 
-def test_who_knows_most_is_named():
+def test_digest_names_freshest_peer():
     first = table(FIRST)
     first.receive_beacon(beacon(SECOND, number=3, change_revision=9), 0.0)
     digest = first.make_digest(
@@ -174,19 +174,19 @@
     assert (digest.freshest_peer, digest.number) == (SECOND, 3)
 
 
-def test_the_longest_unbroken_time_of_any_zone_is_told():
+def test_digest_holds_longest_store_uptime_of_any_zone():
     first = table(FIRST)
     first.receive_beacon(beacon(SECOND, store_uptime_ms=700), 0.0)
-    far = table("10.1.0.1:7340", "far")
-    told = far.make_digest(
-        beacon(far.address, zone="far", store_uptime_ms=9000), False, now=0.0
+    remote = table("10.1.0.1:7340", "far")
+    reported = remote.make_digest(
+        beacon(remote.address, zone="far", store_uptime_ms=9000), False, now=0.0
     )
     assert first.make_digest(beacon(FIRST), True, now=0.0).store_uptime_ms == 700
-    first.receive_digest(told, 0.0)
+    first.receive_digest(reported, 0.0)
     assert first.make_digest(beacon(FIRST), True, now=0.0).store_uptime_ms == 9000
 
 
-def test_who_leaves_no_longer_counts_and_who_joins_not_yet():
+def test_departing_and_joining_instances_are_not_counted():
     first = table(FIRST)
     first.receive_beacon(beacon(SECOND), 0.0)
     first.receive_beacon(beacon(THIRD, state=PeerState.JOINING), 0.0)
@@ -199,17 +199,17 @@
     assert SECOND not in first.member_addresses(0.1 + 1.1 * SILENCE_S)
 
 
-def test_a_speaker_that_leaves_is_followed_at_once():
+def test_departing_speaker_is_replaced_at_once():
     first, second = table(FIRST), table(SECOND)
     second.receive_digest(first.make_digest(beacon(FIRST), True, now=0.0), 0.0)
     second.receive_beacon(beacon(FIRST, state=PeerState.LEAVING), 0.1)
     assert second.is_speaker(0.11)
 
 
-def test_a_speaker_that_says_again_that_it_leaves_is_followed_all_the_same():
-    """The second in the order waited anew with each word of the one that left.
+def test_repeated_departure_does_not_delay_take_over():
+    """Each repeated departure restarted the wait of the instance next in priority.
 
-    It went by a digest that grew old, and told its work to the leaving speaker:
+    It followed an outdated digest, and reported its work to the departing speaker:
 
         news_overdue speaker=10.2.0.22:7480 word_age_ms=1245 number=172
         news_heard silent_ms=5251 number=186
@@ -225,73 +225,79 @@
     assert third.is_speaker(1.1)
 
 
-def test_a_pointer_to_a_speaker_never_hides_its_digest():
+def test_pointer_does_not_replace_digest():
     first = table(FIRST)
-    far = table("10.1.0.1:7340", "far")
-    digest = far.make_digest(
-        beacon(far.address, {ENGINE: Work(5, {}, 0)}, "far"), False, now=0.0
+    remote = table("10.1.0.1:7340", "far")
+    digest = remote.make_digest(
+        beacon(remote.address, {ENGINE: Work(5, {}, 0)}, "far"), False, now=0.0
     )
     first.receive_digest(digest, 0.0)
-    pointer = far.make_digest(beacon(far.address, {}, "far"), False, now=0.0)
+    pointer = remote.make_digest(beacon(remote.address, {}, "far"), False, now=0.0)
     pointer.count = 0
     first.receive_digest(pointer, 0.1)
     assert first.make_digest(beacon(FIRST), True, now=0.0).loads[ENGINE].requests == 5
 
 
-def test_parts_that_were_sent_to_an_engine_are_told_through_the_speaker():
-    """Most prompts reach an engine that others sent their shared part to."""
+def test_prefixes_of_members_are_in_zone_digest():
+    """Most prompts reach an engine to which other instances sent their prefix."""
     first = table(FIRST)
-    own = beacon(SECOND)
-    own.cached_prefixes = {ENGINE: [("s", 4000)]}
-    first.receive_beacon(own, 0.0)
-    mine = beacon(FIRST)
-    mine.cached_prefixes = {ENGINE: [("t", 900)]}
-    zone_only = first.make_digest(mine, is_fleet=False, now=0.0)
+    member_beacon = beacon(SECOND)
+    member_beacon.cached_prefixes = {ENGINE: [("s", 4000)]}
+    first.receive_beacon(member_beacon, 0.0)
+    local_beacon = beacon(FIRST)
+    local_beacon.cached_prefixes = {ENGINE: [("t", 900)]}
+    zone_only = first.make_digest(local_beacon, is_fleet=False, now=0.0)
     assert sorted(zone_only.cached_prefixes[ENGINE]) == [("s", 4000), ("t", 900)]
 
 
-def test_parts_told_by_another_zone_reach_the_own_and_do_not_go_back():
-    first, far = table(FIRST), PeerTable("10.0.0.9:1", 1.0, "far", 0.8, 0.1)
-    theirs = beacon(far.address, zone="far")
-    theirs.cached_prefixes = {ENGINE: [("s", 4000)]}
-    first.receive_digest(far.make_digest(theirs, is_fleet=False, now=0.0), 0.0)
+def test_prefixes_of_remote_zone_are_relayed_to_members_only():
+    first, remote = table(FIRST), PeerTable("10.0.0.9:1", 1.0, "far", 0.8, 0.1)
+    remote_beacon = beacon(remote.address, zone="far")
+    remote_beacon.cached_prefixes = {ENGINE: [("s", 4000)]}
+    first.receive_digest(
+        remote.make_digest(remote_beacon, is_fleet=False, now=0.0), 0.0
+    )
     assert (
         first.make_digest(beacon(FIRST), True, 0.0).cached_prefixes
-        == theirs.cached_prefixes
+        == remote_beacon.cached_prefixes
     )
     assert first.make_digest(beacon(FIRST), False, 0.0).cached_prefixes == {}
 
 
 @pytest.mark.parametrize("interval_s", [0.1, 0.7, 2.0])
-def test_parts_outlast_the_time_between_two_digests(interval_s):
-    """Digests of a large fleet are up to some seconds apart, to bound their bytes."""
+def test_prefixes_are_relayed_for_longer_than_digest_interval(interval_s):
+    """Digests of a large fleet are up to seconds apart, to limit their bytes."""
     first = table(FIRST)
     first.prefixes.set_interval(interval_s)
-    own = beacon(SECOND)
-    own.cached_prefixes = {ENGINE: [("s", 4000)]}
-    first.receive_beacon(own, 0.0)
+    member_beacon = beacon(SECOND)
+    member_beacon.cached_prefixes = {ENGINE: [("s", 4000)]}
+    first.receive_beacon(member_beacon, 0.0)
     digest = first.make_digest(beacon(FIRST), is_fleet=False, now=interval_s + 0.01)
-    assert digest.cached_prefixes == own.cached_prefixes
+    assert digest.cached_prefixes == member_beacon.cached_prefixes
 
 
-def test_a_heartbeat_counts_as_word_of_its_sender_and_of_nobody_else():
+def test_heartbeat_refreshes_only_its_sender():
     first, second, third = table(FIRST), table(SECOND), table(THIRD)
     third.receive_digest(first.make_digest(beacon(FIRST), True, now=0.0), 0.0)
     third.receive_heartbeat(second.make_heartbeat(beacon(SECOND), True, 0.6), 0.6)
     assert third.staleness_s(0.7) == pytest.approx(0.7)
     newer = first.make_heartbeat(beacon(FIRST, number=4, change_revision=9), True, 0.7)
     third.receive_heartbeat(newer, 0.7)
-    told = third.fleet_digest(beacon(THIRD), 0.8)
+    reported = third.fleet_digest(beacon(THIRD), 0.8)
     assert third.staleness_s(0.8) == pytest.approx(0.1)
-    assert (told.number, told.change_revision, told.freshest_peer) == (4, 9, FIRST)
+    assert (reported.number, reported.change_revision, reported.freshest_peer) == (
+        4,
+        9,
+        FIRST,
+    )
 
 
-def test_what_was_heard_of_a_reading_grows_older():
-    """Told on as it was heard, a reading of the store seemed newer than it was."""
+def test_received_read_age_increases_with_time():
+    """Relayed without its age, a read of the store seemed newer than it was."""
     first = table(FIRST)
-    told = beacon(SECOND)
-    told.read_age_ms = 100
-    first.receive_beacon(told, 0.0)
-    own = beacon(FIRST)
-    own.read_age_ms = 5000
-    assert first.make_digest(own, True, now=0.7).read_age_ms == 800
+    reported = beacon(SECOND)
+    reported.read_age_ms = 100
+    first.receive_beacon(reported, 0.0)
+    local_beacon = beacon(FIRST)
+    local_beacon.read_age_ms = 5000
+    assert first.make_digest(local_beacon, True, now=0.7).read_age_ms == 800
