--- a/packages/buckthornwall/src/buckthornwall/pools/rate_limit.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/rate_limit.py
@@ -149,19 +149,19 @@
     # Token bucket
 
     def set_share(
-        self, local_per_s: float, now: float, first_token: float = 0.0
+        self, local_per_s: float, now: float, initial_tokens: float = 0.0
     ) -> None:
         """Set the share of this instance.
 
         An instance that had none starts without a token, so that those that had one
         have learned of the change by then. When an upstream turns cold no instance had
-        one: a share then starts with `first_token`, below 1.
+        one: a share then starts with `initial_tokens`, below 1.
         """
         self._refill(now)
         if not local_per_s:
             self._tokens = 0.0
         elif self._is_newly_cold:
-            self._tokens = first_token
+            self._tokens = initial_tokens
             self._refilled_at = now
             self._is_newly_cold = False
         self.local_per_s = local_per_s
--- a/packages/buckthornwall/src/buckthornwall/pools/rate_limits.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/rate_limits.py
@@ -114,8 +114,8 @@
         for upstream, rate in self._cold_rates(recent, now).items():
             rates[upstream] = min(rate, rates.get(upstream, rate))
         for upstream, rate in rates.items():
-            first_token = hash_share(f"{live.address}/{upstream}")
-            self.views[upstream].rate_limit.set_share(rate, now, first_token)
+            initial_tokens = hash_share(f"{live.address}/{upstream}")
+            self.views[upstream].rate_limit.set_share(rate, now, initial_tokens)
 
     def _advertised_rates(self, fleet: Fleet, now: float) -> dict[UpstreamId, float]:
         limits = [
--- a/packages/buckthornwall/src/buckthornwall/pools/tests/test_cold.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/tests/test_cold.py
@@ -62,7 +62,7 @@
     assert 0.8 * PER_S * 2 <= count_sent_to_cold(pools, clock, 2.0) <= PER_S * 2
 
 
-def test_first_token_lets_share_start_early(pools, clock):
+def test_initial_tokens_let_share_start_early(pools, clock):
     """Otherwise no instance uses the first of 3 s of a cold start."""
     limit = pools.views["cold"].rate_limit
     limit.set_share(1.0, clock.now(), 0.9)
--- a/packages/buckthornwall/src/buckthornwall/quarantine/record.py
+++ b/packages/buckthornwall/src/buckthornwall/quarantine/record.py
@@ -13,9 +13,9 @@
     "TAG_BYTES",
     "CrashRecord",
     "GenerationTag",
+    "generation_tag",
     "pool_of",
     "pool_tag",
-    "generation_tag",
 ]
 
 # One generation of an upstream: a hash of its pool, then one of its id and generation.
