--- a/packages/buckthornwall/src/buckthornwall/pools/entry.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/entry.py
@@ -20,9 +20,8 @@
 class UpstreamEntry:
     """One registration of an upstream.
 
-    `cold_s` is how much longer its cold start lasts, in seconds.
-    `generation` changes when the upstream restarts under the same id; it is empty
-    where the registration does not name one.
+    `cold_s` is how much longer its cold start lasts, in seconds. `generation` changes
+    when the upstream restarts under the same id; it is empty if unknown.
     """
 
     id: UpstreamId
--- a/packages/buckthornwall/src/buckthornwall/pools/health.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/health.py
@@ -73,7 +73,7 @@
         verdict
             How the upstream handled it.
         pool_failure_share
-            Share of failed requests in the rest of the pool.
+            Median share of failed requests of the other upstreams of the pool.
         now
             Time in seconds.
 
--- a/packages/buckthornwall/src/buckthornwall/pools/limit_share.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/limit_share.py
@@ -1,8 +1,8 @@
 """Shares of instances in the rate limits of upstreams.
 
 Instances do not negotiate: senders are selected by rendezvous hashing over the live
-instances, which all instances know. With equal shares, each of 200 instances could send
-an upstream of one request a second a request every 200 s, and all their bursts together
+instances, which all instances know. With equal shares, a limit of one request a second
+would let each of 200 instances send one request in 200 s, and their bursts together
 would be 200 requests.
 """
 
--- a/packages/buckthornwall/src/buckthornwall/pools/rate_limit.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/rate_limit.py
@@ -101,7 +101,7 @@
         return now < self.cold_until and self.cold_per_s < UNLIMITED
 
     def is_limited(self, now: float) -> bool:
-        """Return whether it accepts a limited rate of requests."""
+        """Return whether the rate of requests to it is limited."""
         return self.advertises_limit or self.is_cold(now)
 
     # Advertised limits
--- a/packages/buckthornwall/src/buckthornwall/pools/view.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/view.py
@@ -18,7 +18,8 @@
     """Registration, load, health, likely cached prefixes and limits of one upstream.
 
     `reachability` combines this instance's attempts with the reports of its peers.
-    `rate_limit` holds the requests a second that it accepts, and until when it is cold.
+    `rate_limit` holds the requests a second that the upstream accepts, and the end of
+    its cold start.
     """
 
     def __init__(self, entry: UpstreamEntry) -> None:
--- a/packages/buckthornwall/src/buckthornwall/quarantine/record.py
+++ b/packages/buckthornwall/src/buckthornwall/quarantine/record.py
@@ -40,7 +40,7 @@
 
 
 def pool_of(tag: GenerationTag) -> int:
-    """Return the hash of the pool that an upstream belonged to."""
+    """Return the hash of the pool in a tag."""
     return tag >> 8 * UPSTREAM_BYTES
 
 
@@ -53,7 +53,7 @@
     """Terminations by one request; both sets only grow, so the merge order is free.
 
     `terminations` are the upstreams that terminated while running it, and `cleared`
-    those of them of which a successful run of it in the same pool exonerates it.
+    those of them that a successful run of it in the same pool has cleared.
     `last_seen_at` is when it last arrived or an upstream terminated while running it,
     and `reported_at` when it was last reported to peers, in seconds.
     """
