--- a/packages/buckthornwall/src/buckthornwall/engine_model/__init__.py
+++ b/packages/buckthornwall/src/buckthornwall/engine_model/__init__.py
@@ -1,12 +1,12 @@
-"""How quickly engines read and generate, learned from what their streams show.
+"""Model of the prefill and decode speed of engines, learned from their streams.
 
 ============= ============================================================
-`quantile`    a running quantile of figures
-`model`       the steps and the reading of one pool's engines
+`quantile`    streaming estimate of a quantile
+`model`       step times and prefill speed of one pool's engines
 ============= ============================================================
 
-Pure state: figures in, predictions out. Placement (`buckthornwall.pools`) asks it
-for waits, pauses and ends; `buckthornwall.forwarding` tells it what was seen.
+Pure state: samples in, predictions out. `buckthornwall.forwarding` records the samples;
+placement (`buckthornwall.pools`) uses the predicted waits, pauses and durations.
 """
 
 from .model import EngineModel
--- a/packages/buckthornwall/src/buckthornwall/engine_model/model.py
+++ b/packages/buckthornwall/src/buckthornwall/engine_model/model.py
@@ -1,67 +1,64 @@
-"""How quickly the engines of one pool read and generate, as their streams show.
+"""Step times and prefill speed of the engines of one pool, learned from their streams.
 
-An engine makes one token of each running stream in a step, and reads prompts in
-pieces between them, so a step is short where nothing is read beside and long where
-something is. How long depends on the engines, on what runs there and on what stands
-before the pieces that are read: none of it is published, all of it shows in the
-times between the events of every stream.
+An engine generates one token of each running stream per step, and prefills prompts in
+chunks in between (chunked prefill). A decode step does no prefill and is short; a
+prefill step also prefills a chunk and is longer. How long they take depends on the
+engine, its running requests, and the context before the chunk. Engines publish none of
+this, but the times between the events of every stream show it.
 """
 
 from .quantile import QuantileEstimate
 
 __all__ = ["EngineModel"]
 
-# What is taken until streams say otherwise, in seconds a token: a step where nothing
-# is read beside; the longest steps (nine in ten are shorter) and the usual one where
-# prompts are read.
+# Step times per token until streams have been observed.
 INITIAL_DECODE_STEP_S = 0.008
 INITIAL_P90_PREFILL_STEP_S = 0.035
 INITIAL_PREFILL_STEP_S = 0.028
-HIGH_QUANTILE = 0.9
-# A step this many times as long as a quiet one was stretched by reading. By counts of
-# pending prefill tokens alone, most steps that seem to be beside reading are quiet
-# ones.
+PREFILL_STEP_QUANTILE = 0.9
+# A step this many times as long as a decode step is taken as a prefill step. By counts
+# of pending prefill tokens alone, most apparent prefill steps would be decode steps.
 MIN_PREFILL_STEP_RATIO = 2.5
-# Prompt tokens read in a second, until first tokens say otherwise.
+# Prefill speed until first tokens have been observed.
 INITIAL_TOKENS_PER_S = 50_000.0
-# Fewer tokens are read within the time that the ways and the start take.
+# For fewer tokens, network latency and the start of the request dominate.
 MIN_MEASURED_TOKENS = 1_500
 
 
 class EngineModel:
-    """What is known of the speed of a pool's engines; times in seconds."""
+    """Learned speed of a pool's engines; times are in seconds."""
 
     def __init__(self) -> None:
         self._decode_step = QuantileEstimate(INITIAL_DECODE_STEP_S, 0.5)
         self._prefill_step = QuantileEstimate(INITIAL_PREFILL_STEP_S, 0.5)
         self._p90_prefill_step = QuantileEstimate(
-            INITIAL_P90_PREFILL_STEP_S, HIGH_QUANTILE
+            INITIAL_P90_PREFILL_STEP_S, PREFILL_STEP_QUANTILE
         )
         self._tokens_per_s = QuantileEstimate(INITIAL_TOKENS_PER_S, 0.5)
 
-    # What streams show
+    # Samples
 
     def record_gap(
         self, gap_s: float, tokens: int, is_decode_only: bool, is_reserved: bool = False
     ) -> None:
-        """Take the time between two events of a stream.
+        """Record the time between two events of a stream.
 
-        That nothing waits to be read is known well; that something does is not: it
-        may have been read for long when its first token is heard of. So a step
-        counts as one beside reading by its length.
+        That no prefill is pending is known reliably. That some is pending is not: a
+        prompt may have been prefilled long before its first token arrives here. So a
+        prefill step is recognized by its length.
 
         Parameters
         ----------
         gap_s
-            Seconds between them.
+            Seconds between the events.
         tokens
-            Tokens that the later event holds.
+            Tokens of the later event.
         is_decode_only
-            Whether nothing was known to wait there to be read when either came.
+            Whether no prefill was known to be pending when either event arrived.
         is_reserved
-            Whether the engine is kept free of long prompts: its steps say nothing of
-            those beside them. Counted as such, they let a stream look safe beside
-            long prompts as soon as it was kept apart from them.
+            Whether the engine is reserved, and so gets no long prompts. Its longer
+            steps are not counted as prefill steps: a stream would otherwise look safe
+            beside long prompts as soon as it ran apart from them.
         """
         if tokens <= 0 or gap_s <= 0:
             return
@@ -73,12 +70,12 @@
             self._p90_prefill_step.record(step_s)
 
     def record_first_token(self, tokens: int, elapsed_s: float) -> None:
-        """Take the first token of a prompt that waited for no other.
+        """Record the first token of a prompt that did not wait for another one.
 
         Parameters
         ----------
         tokens
-            How much of it had to be read.
+            Prompt tokens that had to be prefilled.
         elapsed_s
             Seconds from sending to the first event.
         """
@@ -87,11 +84,11 @@
 
     @property
     def gap_count(self) -> int:
-        """How many gaps have been learned from."""
+        """Number of gaps recorded as decode or prefill steps."""
         return self._decode_step.count + self._prefill_step.count
 
     def describe(self) -> dict[str, float]:
-        """Return what is believed, and from how much, as pairs of a log line."""
+        """Return the estimates and their sample counts as fields of a log line."""
         return {
             "quiet_step_ms": round(self.decode_step_s * 1000, 2),
             "reading_step_ms": round(self.prefill_step_s * 1000, 2),
@@ -102,44 +99,44 @@
             "prompts": self._tokens_per_s.count,
         }
 
-    # What follows
+    # Predictions
 
     @property
     def tokens_per_s(self) -> float:
-        """Prompt tokens that an engine reads in a second."""
+        """Prompt tokens that an engine prefills per second."""
         return self._tokens_per_s.value
 
     @property
     def decode_step_s(self) -> float:
-        """The usual time of a token where nothing is read beside."""
+        """Median time per token without prefill."""
         return self._decode_step.value
 
     @property
     def prefill_step_s(self) -> float:
-        """The usual time of a token where prompts are read beside."""
+        """Median time per token beside prefill."""
         return max(self._prefill_step.value, self._decode_step.value)
 
     @property
     def p90_prefill_step_s(self) -> float:
-        """The time of a token beside reading that nine in ten stay under."""
+        """90th percentile of the time per token beside prefill."""
         return max(self._p90_prefill_step.value, self.prefill_step_s)
 
     def prefill_s(self, tokens: float) -> float:
-        """Return how long it takes to read so many prompt tokens."""
+        """Return how long the prefill of some prompt tokens takes."""
         return tokens / self.tokens_per_s
 
     def pause_s(self, tokens_per_event: int, pending_prefill: float) -> float:
-        """Return the longest pause of a stream beside so many pending prefill tokens.
+        """Return the longest pause of a stream beside some pending prefill tokens.
 
-        Not longer than an event whose every step is a long one, nor than all of
-        the reading together with the steps of an event.
+        It is bounded by an event of 90th-percentile prefill steps, and by the whole
+        pending prefill together with the decode steps of one event.
         """
-        slow_steps_s = tokens_per_event * self.p90_prefill_step_s
-        prefill_all_s = tokens_per_event * self.decode_step_s + self.prefill_s(
+        step_bound_s = tokens_per_event * self.p90_prefill_step_s
+        prefill_bound_s = tokens_per_event * self.decode_step_s + self.prefill_s(
             pending_prefill
         )
-        return min(slow_steps_s, prefill_all_s)
+        return min(step_bound_s, prefill_bound_s)
 
-    def slow_decode_s(self, tokens: int) -> float:
-        """Return how long an answer takes where prompts are read all the while."""
+    def decode_beside_prefill_s(self, tokens: int) -> float:
+        """Return how long a response takes if every step is a prefill step."""
         return tokens * self.prefill_step_s
--- a/packages/buckthornwall/src/buckthornwall/engine_model/quantile.py
+++ b/packages/buckthornwall/src/buckthornwall/engine_model/quantile.py
@@ -1,24 +1,24 @@
-"""A running quantile of positive figures, in a few bytes."""
+"""Streaming estimate of a quantile of positive samples, in constant memory."""
 
 __all__ = ["QuantileEstimate"]
 
-# Part by which one sample moves an estimate at most. A hundred figures carry it from
-# a guess to one twice as high; one wild sample moves it no further than any other.
+# Largest relative change by one sample. A hundred samples can move the estimate to
+# about twice the initial value; an outlier moves it no further than any other sample.
 RELATIVE_STEP = 0.03
 
 
 class QuantileEstimate:
-    """The value below which a given share of recent figures lies.
+    """The value below which a given share of recent samples lies.
 
-    Each sample moves the estimate by a fixed part up or down, whatever its size, so
-    that a few stalls say as little as they should. Recent figures count most.
+    Each sample moves the estimate up or down by a fixed ratio, whatever its size, so
+    that outliers such as stalls have little effect. Recent samples weigh most.
 
     Parameters
     ----------
     initial
-        What is taken until figures say otherwise; positive.
+        Estimate without samples; positive.
     quantile
-        The share of figures below, 0 to 1.
+        Share of samples below the estimate, 0 to 1.
     """
 
     def __init__(self, initial: float, quantile: float) -> None:
@@ -27,7 +27,7 @@
         self.count = 0
 
     def record(self, sample: float) -> None:
-        """Take one sample."""
+        """Update the estimate by one sample."""
         self.count += 1
         if sample > self.value:
             self.value *= 1 + RELATIVE_STEP * self.quantile
--- a/packages/buckthornwall/src/buckthornwall/engine_model/tests/test_model.py
+++ b/packages/buckthornwall/src/buckthornwall/engine_model/tests/test_model.py
@@ -1,4 +1,4 @@
-"""Tests of what is learned of engines from the times of their streams."""
+"""Tests of the engine model learned from event times of streams."""
 
 import random
 
@@ -12,16 +12,16 @@
     return random.Random(7)
 
 
-@pytest.mark.parametrize("share", [0.5, 0.9])
-@pytest.mark.parametrize("first", [0.001, 0.03, 1.0])
-def test_a_quantile_is_found_from_any_first_guess(rng, share, first):
-    estimate = QuantileEstimate(first, share)
+@pytest.mark.parametrize("quantile", [0.5, 0.9])
+@pytest.mark.parametrize("initial", [0.001, 0.03, 1.0])
+def test_quantile_converges_from_any_initial_value(rng, quantile, initial):
+    estimate = QuantileEstimate(initial, quantile)
     for _ in range(2000):
         estimate.record(rng.uniform(0.0, 0.1))
-    assert estimate.value == pytest.approx(0.1 * share, rel=0.25)
+    assert estimate.value == pytest.approx(0.1 * quantile, rel=0.25)
 
 
-def test_a_few_stalls_move_a_quantile_little(rng):
+def test_stalls_do_not_distort_median(rng):
     estimate = QuantileEstimate(0.01, 0.5)
     for step in range(1000):
         estimate.record(60.0 if step % 20 == 0 else rng.uniform(0.008, 0.012))
@@ -29,37 +29,37 @@
 
 
 class Engine:
-    """An engine that shows a model its gaps: steps with and without reading."""
+    """A simulated engine with decode steps and chunked prefill."""
 
-    def __init__(self, rng, decode_s, tokens_per_s, piece=2048, tokens_per_event=4):
+    def __init__(self, rng, decode_s, tokens_per_s, chunk=2048, tokens_per_event=4):
         self.rng = rng
         self.decode_s = decode_s
         self.tokens_per_s = tokens_per_s
-        self.piece = piece
+        self.chunk = chunk
         self.tokens_per_event = tokens_per_event
 
     def step_s(self, pending_prefill):
-        prefill_s = min(pending_prefill, self.piece) / self.tokens_per_s
+        prefill_s = min(pending_prefill, self.chunk) / self.tokens_per_s
         return (self.decode_s + prefill_s) * self.rng.uniform(0.95, 1.15)
 
-    def show(self, model, events=400):
+    def record_samples(self, model, events=400):
         for _ in range(events):
             pending_prefill = self.rng.choice([0, 0, 60_000])
             gap_s = 0.0
             left = pending_prefill
             for _ in range(self.tokens_per_event):
                 gap_s += self.step_s(left)
-                left = max(0, left - self.piece)
+                left = max(0, left - self.chunk)
             model.record_gap(gap_s, self.tokens_per_event, not pending_prefill)
             model.record_first_token(8000, 8000 / self.tokens_per_s + 0.004)
 
 
 @pytest.mark.parametrize("speed", [0.5, 1.0, 2.0])
 @pytest.mark.parametrize("tokens_per_event", [1, 3, 5])
-def test_engines_of_any_speed_are_learned(rng, speed, tokens_per_event):
+def test_model_learns_speed_of_engine(rng, speed, tokens_per_event):
     engine = Engine(rng, 0.004 / speed, 60_000 * speed, 2048, tokens_per_event)
     model = EngineModel()
-    engine.show(model)
+    engine.record_samples(model)
     step_s = engine.decode_s + 2048 / engine.tokens_per_s
     assert model.decode_step_s == pytest.approx(engine.decode_s, rel=0.2)
     assert model.prefill_step_s == pytest.approx(step_s, rel=0.2)
@@ -67,26 +67,26 @@
     assert model.p90_prefill_step_s >= model.prefill_step_s
 
 
-def test_a_pause_is_bounded_by_what_there_is_to_read(rng):
+def test_pause_is_bounded_by_pending_prefill(rng):
     model = EngineModel()
-    Engine(rng, 0.004, 60_000).show(model)
+    Engine(rng, 0.004, 60_000).record_samples(model)
     decode_s = 4 * model.decode_step_s
     assert model.pause_s(4, 0) == pytest.approx(decode_s)
     assert model.pause_s(4, 2_000) == pytest.approx(decode_s + model.prefill_s(2_000))
     assert model.pause_s(4, 900_000) == pytest.approx(4 * model.p90_prefill_step_s)
 
 
-def test_quiet_steps_said_to_be_beside_reading_do_not_count_as_such(rng):
-    """The counts of pending prefill tokens are 0.1 to 0.5 s old and clear late."""
+def test_decode_steps_beside_stale_pending_prefill_are_no_prefill_steps(rng):
+    """Counts of pending prefill tokens are 0.1 to 0.5 s old, and cleared late."""
     model = EngineModel()
-    Engine(rng, 0.004, 60_000).show(model)
+    Engine(rng, 0.004, 60_000).record_samples(model)
     before = model.prefill_step_s, model.p90_prefill_step_s
     for _ in range(500):
         model.record_gap(4 * 0.004, 4, is_decode_only=False)
     assert (model.prefill_step_s, model.p90_prefill_step_s) == before
 
 
-def test_a_gap_of_no_length_says_nothing():
+def test_gap_without_length_or_tokens_is_ignored():
     model = EngineModel()
     before = (model.decode_step_s, model.prefill_step_s, model.p90_prefill_step_s)
     for _ in range(50):
@@ -99,9 +99,9 @@
     ) == before
 
 
-def test_steps_of_engines_kept_apart_do_not_count_as_beside_long_prompts(rng):
+def test_steps_of_reserved_engines_are_no_prefill_steps(rng):
     model = EngineModel()
-    Engine(rng, 0.004, 60_000).show(model)
+    Engine(rng, 0.004, 60_000).record_samples(model)
     before = model.p90_prefill_step_s
     for _ in range(500):
         model.record_gap(4 * 0.015, 4, is_decode_only=False, is_reserved=True)
--- a/packages/buckthornwall/src/buckthornwall/pools/reserved.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/reserved.py
@@ -58,7 +58,7 @@
     event_s = pool.engine.tokens_per_event * model.p90_prefill_step_s
     if event_s > SAFE_PAUSE_SHARE * route.max_pause_s:
         return True
-    return model.slow_decode_s(prompt.max_output_tokens) > route.timeout_s
+    return model.decode_beside_prefill_s(prompt.max_output_tokens) > route.timeout_s
 
 
 @dataclass(frozen=True, slots=True)
