--- a/packages/buckthornwall-standins/src/buckthornwall_standins/peers_sim/peer.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/peers_sim/peer.py
@@ -146,7 +146,7 @@
             weight=1.0,
             zone=self.zone,
             state=self.state,
-            number=self.discovery.table.number,
+            config_number=self.discovery.table.number,
             change_revision=self.discovery.change_revision,
             read_age_ms=self.state_sync.read_age_ms(),
             store_uptime_ms=int(self.discovery.store_uptime_s() * 1000),
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/peers_sim/soak.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/peers_sim/soak.py
@@ -188,7 +188,7 @@
 def _state(peer: SimPeer) -> str:
     """Return how far behind an instance is, and what it goes by."""
     now = peer.clock.now()
-    told = peer.agent.table.fleet_digest(peer.make_beacon(), now)
+    digest = peer.agent.table.fleet_digest(peer.make_beacon(), now)
     lag_s = peer.simulation.lag_s(peer.discovery.table.number)
     return (
         f"{peer.address} is {lag_s:.2f} s behind: speaks={peer.speaks} "
@@ -197,8 +197,8 @@
         f"may_read={peer.state_sync.may_read()} "
         f"read_s_ago={now - peer.discovery.read_at:.2f} "
         f"away={peer.discovery.is_store_unavailable} "
-        f"number={peer.discovery.table.number} told={told.number} "
-        f"informed={told.freshest_peer}"
+        f"number={peer.discovery.table.number} told={digest.config_number} "
+        f"informed={digest.freshest_peer}"
     )
 
 
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/pool_sim/instance.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/pool_sim/instance.py
@@ -146,7 +146,9 @@
 
         request.on_event = on_event
 
-    def hear(self, totals: dict[UpstreamId, Work], own: dict[UpstreamId, Work]) -> None:
+    def receive_work(
+        self, totals: dict[UpstreamId, Work], own: dict[UpstreamId, Work]
+    ) -> None:
         """Take the others' work: all of it, without what was counted of this one."""
         nothing = Work()
         for view in self.pools.views.values():
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/pool_sim/simulation.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/pool_sim/simulation.py
@@ -273,6 +273,6 @@
         lost: Unreachable,
     ) -> None:
         for instance, own in zip(self.instances, works, strict=True):
-            instance.hear(totals, own)
+            instance.receive_work(totals, own)
             instance.pools.receive_unreachable(lost)
             instance.pools.receive_cached_prefixes(cached_prefixes)
--- a/packages/buckthornwall/src/buckthornwall/__init__.py
+++ b/packages/buckthornwall/src/buckthornwall/__init__.py
@@ -29,7 +29,7 @@
 `pools`         upstreams: load, health, likely memory, placement
 `forwarding`    attempts at upstreams until a request is answered
 `discovery`     watches the store and applies its updates
-`peers`         what instances tell each other
+`peers`         gossip between instances: membership, load, state in force
 `router`        the assembly
 =============== ==========================================================
 """
--- a/packages/buckthornwall/src/buckthornwall/peers/freshness.py
+++ b/packages/buckthornwall/src/buckthornwall/peers/freshness.py
@@ -12,11 +12,11 @@
     target: Digest | Heartbeat, source: Digest | Heartbeat
 ) -> None:
     """Copy a newer revision, and the peer that has it, into `target`."""
-    if (source.number, source.change_revision) > (
-        target.number,
+    if (source.config_number, source.change_revision) > (
+        target.config_number,
         target.change_revision,
     ):
-        target.number = source.number
+        target.config_number = source.config_number
         target.change_revision = source.change_revision
         target.freshest_peer = source.freshest_peer
 
--- a/packages/buckthornwall/src/buckthornwall/peers/messages.py
+++ b/packages/buckthornwall/src/buckthornwall/peers/messages.py
@@ -82,7 +82,7 @@
     ----------
     weight
         Capacity of the instance for relaying.
-    number
+    config_number
         Number of the configuration in force.
     change_revision
         Revision of the newest change.
@@ -110,7 +110,7 @@
     weight: float
     zone: ZoneId
     state: PeerState
-    number: int
+    config_number: int
     change_revision: int
     read_age_ms: int
     store_uptime_ms: int
@@ -135,7 +135,7 @@
         Weights of the zone's instances by address.
     speakers
         Addresses of the speakers by zone.
-    number, change_revision
+    config_number, change_revision
         The highest of any instance.
     freshest_peer
         Address of the instance with these; '' if the digest is only a pointer.
@@ -166,7 +166,7 @@
     count: int
     members: dict[str, float]
     speakers: dict[ZoneId, str]
-    number: int
+    config_number: int
     change_revision: int
     freshest_peer: str
     read_age_ms: int
@@ -212,7 +212,7 @@
     weight: float
     zone: ZoneId
     is_fleet: bool
-    number: int
+    config_number: int
     change_revision: int
     freshest_peer: str
     read_age_ms: int
--- a/packages/buckthornwall/src/buckthornwall/peers/speaker_lookup.py
+++ b/packages/buckthornwall/src/buckthornwall/peers/speaker_lookup.py
@@ -120,7 +120,7 @@
         count=0,
         members={},
         speakers=digest.speakers,
-        number=0,
+        config_number=0,
         change_revision=0,
         freshest_peer="",
         read_age_ms=UNKNOWN_AGE_MS,
--- a/packages/buckthornwall/src/buckthornwall/peers/table.py
+++ b/packages/buckthornwall/src/buckthornwall/peers/table.py
@@ -272,7 +272,7 @@
             count=count + sum(zone.message.count for zone in remote),
             members={beacon.address: beacon.weight for beacon in beacons},
             speakers={self.zone: self.address} | self.other_speakers(),
-            number=newest.number,
+            config_number=newest.config_number,
             change_revision=newest.change_revision,
             freshest_peer=newest.freshest_peer,
             read_age_ms=newest.read_age_ms,
@@ -327,13 +327,15 @@
         """
         beacons, remote = self._zone_beacons(local_beacon), self._remote_zones(is_fleet)
         messages = [*self.members.values(), *remote]
-        best = max(beacons, key=lambda beacon: (beacon.number, beacon.change_revision))
+        best = max(
+            beacons, key=lambda beacon: (beacon.config_number, beacon.change_revision)
+        )
         heartbeat = Heartbeat(
             address=self.address,
             weight=self.weight,
             zone=self.zone,
             is_fleet=is_fleet,
-            number=best.number,
+            config_number=best.config_number,
             change_revision=best.change_revision,
             freshest_peer=best.address,
             read_age_ms=local_beacon.read_age_ms,
--- a/packages/buckthornwall/src/buckthornwall/peers/tests/test_peers.py
+++ b/packages/buckthornwall/src/buckthornwall/peers/tests/test_peers.py
@@ -26,7 +26,7 @@
     loads=None,
     zone="z",
     state=PeerState.READY,
-    number=1,
+    config_number=1,
     change_revision=1,
     store_uptime_ms=0,
 ):
@@ -37,7 +37,7 @@
         1.0,
         ZoneId(zone),
         state,
-        number,
+        config_number,
         change_revision,
         300,
         store_uptime_ms,
@@ -167,11 +167,11 @@
 
 def test_digest_names_freshest_peer():
     first = table(FIRST)
-    first.receive_beacon(beacon(SECOND, number=3, change_revision=9), 0.0)
+    first.receive_beacon(beacon(SECOND, config_number=3, change_revision=9), 0.0)
     digest = first.make_digest(
-        beacon(FIRST, number=2, change_revision=20), True, now=0.0
+        beacon(FIRST, config_number=2, change_revision=20), True, now=0.0
     )
-    assert (digest.freshest_peer, digest.number) == (SECOND, 3)
+    assert (digest.freshest_peer, digest.config_number) == (SECOND, 3)
 
 
 def test_digest_holds_longest_store_uptime_of_any_zone():
@@ -281,11 +281,17 @@
     third.receive_digest(first.make_digest(beacon(FIRST), True, now=0.0), 0.0)
     third.receive_heartbeat(second.make_heartbeat(beacon(SECOND), True, 0.6), 0.6)
     assert third.staleness_s(0.7) == pytest.approx(0.7)
-    newer = first.make_heartbeat(beacon(FIRST, number=4, change_revision=9), True, 0.7)
+    newer = first.make_heartbeat(
+        beacon(FIRST, config_number=4, change_revision=9), True, 0.7
+    )
     third.receive_heartbeat(newer, 0.7)
     reported = third.fleet_digest(beacon(THIRD), 0.8)
     assert third.staleness_s(0.8) == pytest.approx(0.1)
-    assert (reported.number, reported.change_revision, reported.freshest_peer) == (
+    assert (
+        reported.config_number,
+        reported.change_revision,
+        reported.freshest_peer,
+    ) == (
         4,
         9,
         FIRST,
--- a/packages/buckthornwall/src/buckthornwall/peers/views.py
+++ b/packages/buckthornwall/src/buckthornwall/peers/views.py
@@ -25,8 +25,8 @@
 class ViewClient:
     """Requests the views of peers, over a new connection each time."""
 
-    async def ask(self, address: str, number: int) -> PeerView:
-        """Return a peer's view; its configuration only if newer than `number`.
+    async def ask(self, address: str, config_number: int) -> PeerView:
+        """Return a peer's view; its configuration only if newer than `config_number`.
 
         Raises
         ------
@@ -35,15 +35,17 @@
         """
         try:
             with trio.fail_after(TIMEOUT_S):
-                return await self._ask(address, number)
+                return await self._ask(address, config_number)
         except (ExchangeError, trio.TooSlowError) as error:
             raise PeerError(ResultCode.PEER_MESSAGE, str(error)) from error
 
-    async def _ask(self, address: str, number: int) -> PeerView:
+    async def _ask(self, address: str, config_number: int) -> PeerView:
         connection = await ClientConnection.connect(address, CONNECT_TIMEOUT_S)
         try:
             headers = [(b"host", address.encode()), (b"connection", b"close")]
-            await connection.send(b"GET", VIEW_PATH + b"%d" % number, headers, b"")
+            await connection.send(
+                b"GET", VIEW_PATH + b"%d" % config_number, headers, b""
+            )
             head = await connection.receive_head()
             body = bytearray()
             while data := await connection.receive_data():
@@ -56,7 +58,7 @@
 
 
 async def answer_view(
-    incoming: IncomingRequest, answer: Answer, view: PeerView, number: int
+    incoming: IncomingRequest, answer: Answer, view: PeerView, config_number: int
 ) -> None:
     """Answer a peer's request for the state in force here.
 
@@ -66,6 +68,6 @@
     if not known_number.isdigit():
         await answer.whole(404, [], b"")
         return
-    if int(known_number) >= number:
+    if int(known_number) >= config_number:
         view.published = b""
     await answer.whole(200, CBOR, encode(view))
--- a/packages/buckthornwall/src/buckthornwall/router/operators.py
+++ b/packages/buckthornwall/src/buckthornwall/router/operators.py
@@ -106,7 +106,7 @@
             "speaker": fleet.address,
             "staleness_s": round(router.peers.staleness_s(now), 3),
             "instances": fleet.count,
-            "number": fleet.number,
+            "number": fleet.config_number,
             "mark": fleet.change_revision,
             "speakers": dict(fleet.speakers),
         },
--- a/packages/buckthornwall/src/buckthornwall/router/state_sync.py
+++ b/packages/buckthornwall/src/buckthornwall/router/state_sync.py
@@ -96,7 +96,7 @@
     def should_fetch_view(self, fleet: Digest) -> bool:
         """Return whether to fetch the newer view of a peer."""
         local = (self.discovery.table.number, self.discovery.change_revision)
-        if (fleet.number, fleet.change_revision) <= local:
+        if (fleet.config_number, fleet.change_revision) <= local:
             self._stale_since = None
             self._view_failed = False
             return False
