--- a/packages/buckthornwall/src/buckthornwall/pools/tests/conftest.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures that the tests of pools share."""
+"""Shared fixtures of the tests of pools."""
 
 import pytest
 
--- a/packages/buckthornwall/src/buckthornwall/pools/tests/helpers.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/tests/helpers.py
@@ -1,4 +1,4 @@
-"""Prompts, pools and choices that several tests of pools share."""
+"""Prompts, pools and choices shared by tests of pools."""
 
 from buckthornwall.engine_model import EngineModel
 from buckthornwall.pools import (
@@ -43,13 +43,17 @@
     table.adopt(entry)
 
 
-def choose(table, clock, shape, rank=5, free_s=0.0):
+def choose(table, clock, shape, rank=5, discounted_wait_s=0.0):
     views = table.usable(POOL, set())
-    return choose_engine(views, wanted(shape, rank, free_s), clock.now())
+    return choose_engine(
+        views, placement_request(shape, rank, discounted_wait_s), clock.now()
+    )
 
 
-def wanted(shape, rank=5, free_s=0.0, key="r", **more):
-    return PlacementRequest(shape, rank, ZONE, free_s, 1.0, key, EngineModel(), **more)
+def placement_request(shape, rank=5, discounted_wait_s=0.0, key="r", **more):
+    return PlacementRequest(
+        shape, rank, ZONE, discounted_wait_s, 1.0, key, EngineModel(), **more
+    )
 
 
 def traits(shape, tier=1, target_s=0.6, pause_sensitive=False):
--- a/packages/buckthornwall/src/buckthornwall/pools/tests/test_prefix_updates.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/tests/test_prefix_updates.py
@@ -1,4 +1,4 @@
-"""Tests of what instances tell each other of the parts that engines hold."""
+"""Tests of the exchange of cached prefixes between instances."""
 
 from buckthornwall.pools import PrefixUpdates, merge_cached_prefixes
 from buckthornwall.pools.prefix_updates import MAX_SENT_PREFIXES, REFRESH_S, REPEAT_S
@@ -7,14 +7,14 @@
 E1, E2 = UpstreamId("e1"), UpstreamId("e2")
 
 
-def test_a_part_is_told_for_a_while_and_then_no_more():
+def test_segment_is_repeated_for_limited_time():
     updates = PrefixUpdates()
     updates.record(E1, [("s", 4000)], 10.0)
     assert updates.to_send(10.0 + REPEAT_S) == {E1: [("s", 4000)]}
     assert updates.to_send(10.01 + REPEAT_S) == {}
 
 
-def test_a_part_in_use_is_told_again_but_seldom():
+def test_segment_in_use_is_refreshed_rarely():
     updates = PrefixUpdates()
     for step in range(int(REFRESH_S / 0.1)):
         updates.record(E1, [("s", 4000)], 10.0 + 0.1 * step)
@@ -23,7 +23,7 @@
     assert updates.to_send(10.1 + REFRESH_S) == {E1: [("s", 4000)]}
 
 
-def test_a_message_has_a_bound_and_holds_the_newest():
+def test_message_is_bounded_and_has_newest_segments():
     updates = PrefixUpdates()
     for number in range(MAX_SENT_PREFIXES + 5):
         updates.record(E1, [(f"s{number}", 900)], 10.0)
@@ -33,7 +33,7 @@
     assert ("s0", 900) not in sent
 
 
-def test_what_was_heard_is_told_on_once():
+def test_received_segment_is_not_relayed_in_a_loop():
     first, second = PrefixUpdates(), PrefixUpdates()
     first.record(E1, [("s", 4000)], 10.0)
     second.receive(first.to_send(10.0), 10.0)
@@ -42,13 +42,13 @@
     assert first.to_send(10.1 + REPEAT_S) == {}
 
 
-def test_sums_hold_each_part_once():
+def test_merge_has_each_segment_once():
     total = {E1: [("s", 4000)]}
     merge_cached_prefixes(total, {E1: [("s", 4000), ("t", 5)], E2: [("s", 4000)]})
     assert total == {E1: [("s", 4000), ("t", 5)], E2: [("s", 4000)]}
 
 
-def test_short_parts_are_not_told():
+def test_short_segments_are_not_sent():
     updates = PrefixUpdates()
     updates.record(E1, [("long", 500), ("short", 499)], 10.0)
     assert updates.to_send(10.0) == {E1: [("long", 500)]}
--- a/packages/buckthornwall/src/buckthornwall/pools/tests/test_reserved.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/tests/test_reserved.py
@@ -1,4 +1,4 @@
-"""Tests of which streams must not pause, and of reserved engines for them."""
+"""Tests of pause-sensitive streams, and of the engines reserved for them."""
 
 import pytest
 
@@ -21,7 +21,7 @@
     RouteId,
 )
 
-from .helpers import POOL, adopt, choose, prompt, wanted
+from .helpers import POOL, adopt, choose, placement_request, prompt
 
 
 def pause_sensitive_route(max_pause_s=0.12):
@@ -42,12 +42,12 @@
     )
 
 
-def prompt_of(tokens: int, longest_answer: int) -> PromptShape:
-    return PromptShape(ModelId("m"), tokens, longest_answer)
+def prompt_shape(tokens: int, max_output_tokens: int) -> PromptShape:
+    return PromptShape(ModelId("m"), tokens, max_output_tokens)
 
 
-def shown(step_s: float) -> EngineModel:
-    """Return a model of engines whose steps beside reading take so long."""
+def model_with_prefill_step(step_s: float) -> EngineModel:
+    """Return a model of engines whose prefill steps take `step_s`."""
     model = EngineModel()
     for _ in range(500):
         model.record_gap(0.004, 1, is_decode_only=True)
@@ -59,11 +59,11 @@
     ("tokens_per_event", "max_pause_s", "expected"),
     [(4, 0.12, True), (3, 0.13, True), (3, 0.14, False), (4, 0.5, False)],
 )
-def test_a_stream_is_pause_sensitive_if_reading_beside_it_breaks_its_pauses(
+def test_stream_is_pause_sensitive_if_prefill_breaks_its_pause_limit(
     tokens_per_event, max_pause_s, expected
 ):
     pool = Pool(POOL, "/", 10, EngineSpec(32, 100_000, tokens_per_event))
-    shape = prompt_of(500, 90)
+    shape = prompt_shape(500, 90)
     assert (
         is_pause_sensitive(
             pause_sensitive_route(max_pause_s), pool, shape, EngineModel()
@@ -72,46 +72,46 @@
     )
 
 
-def test_a_stream_that_is_mostly_prompt_is_not_kept_with_those_that_must_not_pause():
-    """It brings to such engines what they are reserved free of."""
+def test_prefill_heavy_stream_is_not_pause_sensitive():
+    """Its own prefill would cause pauses on reserved engines."""
     pool = Pool(POOL, "/", 10, EngineSpec(32, 100_000, 4))
     assert is_pause_sensitive(
-        pause_sensitive_route(0.12), pool, prompt_of(800, 90), EngineModel()
+        pause_sensitive_route(0.12), pool, prompt_shape(800, 90), EngineModel()
     )
     assert not is_pause_sensitive(
-        pause_sensitive_route(0.12), pool, prompt_of(900, 90), EngineModel()
+        pause_sensitive_route(0.12), pool, prompt_shape(900, 90), EngineModel()
     )
 
 
 @pytest.mark.parametrize("speed", [0.5, 1.0, 2.0])
-def test_engines_of_other_speeds_make_other_streams_pause_sensitive(speed):
-    """Four tokens of 45 ms break a pause of 0.2 s; four of 22 do not, of 90 by far."""
+def test_pause_sensitivity_depends_on_engine_speed(speed):
+    """Four tokens of 45 or 90 ms exceed a pause of 0.2 s; four of 22 ms do not."""
     pool = Pool(POOL, "/", 10, EngineSpec(32, 100_000, 4))
-    model = shown(0.045 / speed)
+    model = model_with_prefill_step(0.045 / speed)
     pause_s = 0.2
     pause_sensitive = is_pause_sensitive(
-        pause_sensitive_route(pause_s), pool, prompt_of(500, 60), model
+        pause_sensitive_route(pause_s), pool, prompt_shape(500, 60), model
     )
     assert pause_sensitive is (speed <= 1.0)
 
 
 @pytest.mark.parametrize(
-    ("tokens", "longest_answer", "expected"),
+    ("tokens", "max_output_tokens", "expected"),
     [(500, 400, True), (500, 300, False), (4500, 400, False)],
 )
-def test_a_stream_is_pause_sensitive_if_its_answer_would_outlast_its_timeout(
-    tokens, longest_answer, expected
+def test_stream_is_pause_sensitive_if_its_response_would_exceed_its_timeout(
+    tokens, max_output_tokens, expected
 ):
-    """The route gives 9 s; a stream that brings a long prompt is none of these."""
+    """The timeout is 9 s; a stream with a long prompt is never pause-sensitive."""
     pool = Pool(POOL, "/", 10, EngineSpec(32, 100_000, 1))
-    shape = prompt_of(tokens, longest_answer)
+    shape = prompt_shape(tokens, max_output_tokens)
     assert (
         is_pause_sensitive(pause_sensitive_route(0.5), pool, shape, EngineModel())
         is expected
     )
 
 
-def test_quiet_engines_grow_with_their_streams_and_shrink_slowly(clock):
+def test_reserved_engines_grow_with_demand_and_shrink_slowly(clock):
     table = PoolTable(clock)
     for number in range(12):
         adopt(table, f"e{number}", 10)
@@ -136,12 +136,11 @@
     assert reserved_engines.split(views, clock.now()).reserved == []
 
 
-def test_streams_overflow_where_the_engines_kept_have_no_room(clock):
-    """Two engines of a dozen were told to have a free slot, and got all that came.
+def test_overflow_of_reserved_engines_goes_to_the_others(clock):
+    """All streams went to the two engines of twelve last reported to have a free slot.
 
-    With 40,000 to 80,000 pending prefill tokens of their own kind before them first
-    events came after 1.19 s, where engines not reserved would have begun them in 0.15
-    s.
+    There they waited behind 40,000 to 80,000 pending prefill tokens of such streams:
+    their first events came after 1.19 s, against 0.15 s on engines not reserved.
     """
     table = PoolTable(clock)
     for number in range(12):
@@ -164,10 +163,8 @@
     assert 150 < everywhere < 250
 
 
-def test_the_first_pause_sensitive_stream_of_all_finds_an_engine_kept_for_it(
-    table, clock
-):
-    """Those of the first second ran for 8 s beside the first prompts of a day."""
+def test_first_pause_sensitive_stream_gets_a_reserved_engine(table, clock):
+    """Without one, streams of the first second run for 8 s beside uncached prompts."""
     views = list(table.members(POOL))
     assert (
         len(
@@ -181,7 +178,7 @@
 
 @pytest.fixture
 def reserved(table, clock):
-    """Return an engine that runs pause-sensitive streams, and the request fields."""
+    """Return a reserved engine, and the fields of a request for such a pool."""
     view = choose(table, clock, prompt()).view
     table.receive_cached_prefixes({view.id: [("s", 4000)]})
     view.load.pause_sensitive = 3
@@ -189,46 +186,60 @@
         "reserved": frozenset({view.id}),
         "tokens_per_event": 4,
         "max_pause_s": 0.12,
-        "free_s": 0.4,
+        "discounted_wait_s": 0.4,
     }
     return view, more
 
 
-def test_a_prompt_that_stretches_pauses_too_far_goes_elsewhere(table, clock, reserved):
+def test_prompt_that_breaks_pause_limit_avoids_reserved_engine(table, clock, reserved):
     view, more = reserved
     views = table.usable(POOL, set())
     long = prompt(own_tokens=9000)
-    assert choose_engine(views, wanted(long, **more), clock.now()).view is not view
+    assert (
+        choose_engine(views, placement_request(long, **more), clock.now()).view
+        is not view
+    )
     more["max_pause_s"] = 0.5  # four steps of 35 ms are within it
-    assert choose_engine(views, wanted(long, **more), clock.now()).view is view
+    assert (
+        choose_engine(views, placement_request(long, **more), clock.now()).view is view
+    )
 
 
-def test_a_short_prompt_does_no_harm_until_more_waits_there(table, clock, reserved):
+def test_short_prompt_avoids_reserved_engine_with_pending_prefill(
+    table, clock, reserved
+):
     view, more = reserved
     views = table.usable(POOL, set())
     short = prompt(own_tokens=1000)
-    assert choose_engine(views, wanted(short, **more), clock.now()).view is view
+    assert (
+        choose_engine(views, placement_request(short, **more), clock.now()).view is view
+    )
     view.load.add_pending_prefill(5, 6_000)
-    assert choose_engine(views, wanted(short, **more), clock.now()).view is not view
+    assert (
+        choose_engine(views, placement_request(short, **more), clock.now()).view
+        is not view
+    )
 
 
-def test_a_reserved_engine_is_open_where_all_others_are_crowded(table, clock, reserved):
+def test_reserved_engine_is_used_if_all_others_are_loaded(table, clock, reserved):
     view, more = reserved
     views = table.usable(POOL, set())
     for other in views:
         if other is not view:
             other.load.add_pending_prefill(5, 150_000)
     long = prompt(own_tokens=9000)
-    assert choose_engine(views, wanted(long, **more), clock.now()).view is view
+    assert (
+        choose_engine(views, placement_request(long, **more), clock.now()).view is view
+    )
 
 
-def test_a_pool_too_small_to_be_split_is_left_whole(table, clock):
+def test_small_pool_has_no_reserved_engines(table, clock):
     views = list(table.members(POOL))[:2]
     views[0].load.pause_sensitive = 9
     assert table.reserved_engines(POOL).split(views, clock.now()).reserved == []
 
 
-def test_engines_are_ordered_anew_when_one_is_gone(table):
+def test_hash_order_is_recomputed_when_an_engine_is_gone(table):
     reserved_engines = table.reserved_engines(POOL)
     views = list(table.members(POOL))
     first = reserved_engines.split(views, 0.0).others
--- a/packages/buckthornwall/src/buckthornwall/pools/tests/test_waits.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/tests/test_waits.py
@@ -1,4 +1,4 @@
-"""Tests of how long requests have waited at one upstream."""
+"""Tests of waits for the first token at one upstream."""
 
 import pytest
 
@@ -20,7 +20,7 @@
 PROMPT = PromptShape(ModelId("m"), 1000, 100, (PromptSegment("s", 900),))
 
 
-def test_the_oldest_of_each_rank_is_told():
+def test_oldest_wait_is_returned_by_rank():
     waits = Waits()
     waits.begin(2, "a", 1.0)
     waits.begin(5, "b", 2.0)
@@ -31,8 +31,8 @@
     assert waits.oldest_wait_s(4.0) == {5: 1.0}
 
 
-def test_who_was_overtaken_says_nothing_of_those_that_come():
-    """Its answer may be lost: the engine is not slow for that."""
+def test_overtaken_request_does_not_count():
+    """Its response may be lost, which does not mean that the engine is slow."""
     waits = Waits()
     waits.begin(5, "lost", 0.0)
     waits.begin(5, "b", 1.0)
@@ -44,7 +44,7 @@
     waits.end(5, "lost", is_served=False)
 
 
-def test_a_later_failure_overtakes_nobody():
+def test_failed_request_does_not_overtake_earlier_ones():
     waits = Waits()
     waits.begin(5, "a", 0.0)
     waits.begin(5, "b", 1.0)
@@ -66,22 +66,22 @@
 
 def choose(table, clock, rank):
     views = table.usable(POOL, set())
-    wanted = PlacementRequest(PROMPT, rank, ZONE, 0.0, 1.0, "r", EngineModel())
-    return choose_engine(views, wanted, clock.now())
+    request = PlacementRequest(PROMPT, rank, ZONE, 0.0, 1.0, "r", EngineModel())
+    return choose_engine(views, request, clock.now())
 
 
-def test_a_choice_tells_how_long_others_wait_there(table, clock):
-    home = choose(table, clock, 5).view
-    home.load.peers = PeerLoad(oldest_wait_s={5: 2.0})
+def test_choice_includes_oldest_wait_of_peers(table, clock):
+    preferred = choose(table, clock, 5).view
+    preferred.load.peers = PeerLoad(oldest_wait_s={5: 2.0})
     choice = choose(table, clock, 5)
-    assert (choice.view, choice.oldest_wait_s) == (home, 2.0)
+    assert (choice.view, choice.oldest_wait_s) == (preferred, 2.0)
 
 
-def test_less_urgent_requests_that_wait_delay_nobody_more_urgent(table, clock):
-    home = choose(table, clock, 0).view
-    home.load.waits.begin(5, "r", clock.now())
+def test_less_urgent_wait_does_not_count_for_more_urgent_request(table, clock):
+    preferred = choose(table, clock, 0).view
+    preferred.load.waits.begin(5, "r", clock.now())
     clock.time += 3.0
     choice = choose(table, clock, 0)
-    assert choice.view is home
+    assert choice.view is preferred
     assert choice.oldest_wait_s == 0.0
-    assert home.load.oldest_wait_before_s(5, clock.now()) == 3.0
+    assert preferred.load.oldest_wait_before_s(5, clock.now()) == 3.0
