--- a/packages/buckthornwall-standins/src/buckthornwall_standins/peers_sim/__init__.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/peers_sim/__init__.py
@@ -5,7 +5,7 @@
 `peer`        one instance: the product's peers, discovery and state synchronisation
 `simulation`  zones of instances before a store that changes all the time
 `word_age`    how old what instances know of each other's work is, at what cost
-`soak`        faults drawn by a seed, and how far behind they leave whom
+`soak`        faults drawn from a seed, and how stale they leave each instance
 ============= ============================================================
 """
 
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/peers_sim/peer.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/peers_sim/peer.py
@@ -19,7 +19,7 @@
 
 __all__ = ["SimPeer"]
 
-# How often it is looked how far behind an instance is.
+# Interval between measurements of how far an instance lags behind the store.
 LOOK_S = 0.05
 HOUSEKEEPING_INTERVAL_S = 0.5
 STORE_DELAY_S = 0.004
@@ -74,7 +74,7 @@
 
 
 class SimPeer:
-    """One instance, with the time for which it has been behind the store.
+    """One instance, with the longest time for which it was stale.
 
     Attributes
     ----------
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/tests/test_router.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/tests/test_router.py
@@ -308,7 +308,7 @@
     assert (status, body) == (200, b"answer-to-early")
 
 
-async def test_a_request_before_the_first_version_is_refused_while_the_store_is_away(
+async def test_request_before_the_first_version_is_refused_during_an_outage(
     site,
 ):
     await site.start(1)
@@ -351,7 +351,7 @@
     await site.until(lambda: view.entry.state.name == "LEAVING")
 
 
-async def test_the_death_of_a_reader_delays_news_by_two_seconds_at_most(site):
+async def test_death_of_a_reader_delays_updates_by_two_seconds_at_most(site):
     await site.start(3)
     await site.until(lambda: len(readers(site, (1, 3))) == 1)
     (reader,) = readers(site, (1, 3))
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/tests/test_succession.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/tests/test_succession.py
@@ -57,19 +57,19 @@
     return peers
 
 
-def furthest_behind_s(peers):
+def max_lag_s(peers):
     return max(peer.max_lag_s for peer in peers)
 
 
 @pytest.mark.parametrize("count", [3, 8, 21])
-async def test_members_of_a_speaker_that_leaves_go_on_hearing_news(
+async def test_members_of_a_leaving_speaker_keep_receiving_updates(
     autojump_clock, fleet, count
 ):
     peers = await settled(fleet, count)
     leaving = fleet.speaker("z")
     await leaving.leave(NOTICE_S)
     others = [peer for peer in peers if peer is not leaving]
-    assert furthest_behind_s(others) < STOP_LIMIT_S
+    assert max_lag_s(others) < STOP_LIMIT_S
 
 
 @pytest.mark.parametrize("count", [3, 8, 21])
@@ -81,7 +81,7 @@
     dead.kill()
     await trio.sleep(2 * DEATH_LIMIT_S)
     others = [peer for peer in peers if peer is not dead]
-    assert furthest_behind_s(others) < DEATH_LIMIT_S
+    assert max_lag_s(others) < DEATH_LIMIT_S
     assert len([peer for peer in peers if peer.speaks]) == 1
 
 
@@ -98,7 +98,7 @@
     back = fleet.start(first.address, "z")
     await trio.sleep(RETURN_S)
     others = [peer for peer in peers if peer is not first]
-    assert furthest_behind_s([back, *others]) < STOP_LIMIT_S
+    assert max_lag_s([back, *others]) < STOP_LIMIT_S
     assert [peer for peer in [back, *others] if peer.speaks] == [back]
 
 
@@ -131,7 +131,7 @@
 
 
 @pytest.mark.parametrize("count", [3, 21])
-async def test_a_member_that_leaves_goes_on_hearing_news(autojump_clock, fleet, count):
+async def test_leaving_member_keeps_receiving_updates(autojump_clock, fleet, count):
     """It serves until the balancer has noticed; its speaker told it nothing more.
 
     5.0001 everett-12 event=stopping active=5
@@ -224,7 +224,7 @@
         zones.add(len(speaker.agent.table.zones))
     assert speakers == {speaker.address}
     assert zones == {2}
-    assert furthest_behind_s(peers) < HEARTBEAT_LIMIT_S
+    assert max_lag_s(peers) < HEARTBEAT_LIMIT_S
 
 
 async def test_two_speakers_that_die_in_a_row_leave_nobody_behind(
