--- a/packages/buckthornwall-standins/src/buckthornwall_standins/memory_fleet.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/memory_fleet.py
@@ -197,7 +197,9 @@
             self.start_node(node)
         for node in self.nodes:
             await self.until(lambda node=node: node.node.is_ready())
-        await self.until(lambda: all(n.node.entry.parts.supports for n in self.nodes))
+        await self.until(
+            lambda: all(n.node.entry.share_leases.leases for n in self.nodes)
+        )
         self.nursery.start_soon(self._note_numbers)
 
     def _serve(self, address: str, app: Any) -> None:
@@ -361,9 +363,9 @@
         """Return the instance that most others leave their part of a pool to."""
         votes: dict[str, int] = {}
         for node in self.alive():
-            support = node.node.entry.parts.supports.get(pool)
-            if support is not None:
-                votes[support.scheduler] = votes.get(support.scheduler, 0) + 1
+            lease = node.node.entry.share_leases.leases.get(pool)
+            if lease is not None:
+                votes[lease.scheduler] = votes.get(lease.scheduler, 0) + 1
         winner = max(votes, key=votes.get)
         return next(node for node in self.nodes if node.id == winner)
 
--- a/packages/buckthornwall/src/buckthornwall/links/messages.py
+++ b/packages/buckthornwall/src/buckthornwall/links/messages.py
@@ -32,8 +32,8 @@
     "HandOverTaken",
     "Heartbeat",
     "Hello",
-    "Holding",
-    "Holdings",
+    "ReportedSlot",
+    "SlotReport",
     "KeyEntry",
     "Message",
     "NodeState",
@@ -44,7 +44,7 @@
     "RecordsRequest",
     "Release",
     "ReleaseKind",
-    "SupportEnded",
+    "ShareLeaseEnded",
     "Withdraw",
 ]
 
@@ -190,7 +190,7 @@
     alone: bool = False
 
 
-class Holding(Struct, array_like=True):
+class ReportedSlot(Struct, array_like=True):
     """One slot in use, as its entry sees it."""
 
     grant: GrantId
@@ -200,10 +200,10 @@
     tokens: int
 
 
-class Holdings(Struct, array_like=True, tag=12):
+class SlotReport(Struct, array_like=True, tag=12):
     """Every slot of a pool that the sender uses now.
 
-    With `support` it renews a lease: for so long the receiver may give out
+    With `renews_lease` it renews a lease: for so long the receiver may give out
     the sender's part of the pool. Without, it ends the lease at once.
     `lease` numbers the sender's leases of the pool, so that the answer to the
     end of one is not taken for the end of the next; it is 0 in a report that
@@ -211,13 +211,13 @@
     """
 
     pool: ModelId
-    support: bool
+    renews_lease: bool
     lease: int
     sent_at: float
-    running: list[Holding]
+    running: list[ReportedSlot]
 
 
-class SupportEnded(Struct, array_like=True, tag=13):
+class ShareLeaseEnded(Struct, array_like=True, tag=13):
     """A scheduler no longer counts on a lease of the receiver's part."""
 
     pool: ModelId
@@ -307,8 +307,8 @@
     | Grant
     | Release
     | Withdraw
-    | Holdings
-    | SupportEnded
+    | SlotReport
+    | ShareLeaseEnded
     | CallForward
     | CallOutcome
     | HandOver
--- a/packages/buckthornwall/src/buckthornwall/node/core.py
+++ b/packages/buckthornwall/src/buckthornwall/node/core.py
@@ -22,7 +22,6 @@
     HandOver,
     HandOverTaken,
     Heartbeat,
-    Holdings,
     Message,
     NodeState,
     OwnerMoved,
@@ -30,7 +29,8 @@
     RecordsReply,
     RecordsRequest,
     Release,
-    SupportEnded,
+    ShareLeaseEnded,
+    SlotReport,
     Withdraw,
 )
 from buckthornwall.membership import FreezeDetector, MemberTable
@@ -68,8 +68,8 @@
 BEAT_S = 0.1
 FLUSH_S = 0.2
 
-TO_SCHEDULER = (Enqueue, Release, Withdraw, Holdings)
-TO_ENTRY = (Accepted, EnqueueRefused, Grant, Preempt, SupportEnded)
+TO_SCHEDULER = (Enqueue, Release, Withdraw, SlotReport)
+TO_ENTRY = (Accepted, EnqueueRefused, Grant, Preempt, ShareLeaseEnded)
 TO_RECORDS = (RecordsRequest, RecordsReply)
 TO_IDEMPOTENCY = (CallForward, CallOutcome, HandOver, HandOverTaken, OwnerMoved)
 
@@ -254,7 +254,7 @@
             self.announcer.dial()
         self.records.handle(node, message)
         if fresh:
-            self.entry.parts.renew()
+            self.entry.share_leases.renew()
 
     def _peer_introduced(self, node: NodeId, address: str) -> None:
         self.announcer.introduce(node, address)
@@ -269,7 +269,7 @@
 
     def _node_lost(self, node: NodeId) -> None:
         self.scheduler.node_lost(node)
-        self.entry.parts.renew()
+        self.entry.share_leases.renew()
 
     def _after_freeze(self) -> None:
         now = self.clock.now()
@@ -279,7 +279,7 @@
 
     def _records_changed(self) -> None:
         self.scheduler.records_changed()
-        self.entry.parts.renew()
+        self.entry.share_leases.renew()
         self.announcer.send_heartbeats()
 
     def _list_changed(self) -> None:
@@ -322,7 +322,7 @@
                 self.records.run,
                 self.instances.run,
                 self.scheduler.run,
-                self.entry.parts.run,
+                self.entry.share_leases.run,
                 self.loads.run,
                 self.orders.run,
             ):
@@ -385,7 +385,7 @@
         self.app.draining = True
         self.announcer.send_heartbeats()
         self.scheduler.resign()
-        self.entry.parts.renew()
+        self.entry.share_leases.renew()
         await trio.sleep(self.settings.gateway.drain_s)
         self.close_callers.set()
         with trio.move_on_after(self.settings.gateway.stop_limit_s):
--- a/packages/buckthornwall/src/buckthornwall/node/status.py
+++ b/packages/buckthornwall/src/buckthornwall/node/status.py
@@ -23,14 +23,14 @@
             for member in node.members.members.values()
         ],
         "supports": {
-            pool: support.scheduler
-            for pool, support in node.entry.parts.supports.items()
+            pool: lease.scheduler
+            for pool, lease in node.entry.share_leases.leases.items()
         },
         "pools": [
             {
                 "pool": pool,
                 "alone": alone,
-                "supporters": sorted(role.supporters),
+                "supporters": sorted(role.lease_renewed_at),
                 **_scheduler(role.scheduler),
             }
             for (pool, alone), role in node.scheduler.roles.items()
--- a/packages/buckthornwall/src/buckthornwall/scheduling/agent.py
+++ b/packages/buckthornwall/src/buckthornwall/scheduling/agent.py
@@ -12,12 +12,12 @@
     Enqueue,
     EnqueueRefused,
     Grant,
-    Holdings,
     Message,
     NodeState,
     Preempt,
     Release,
-    SupportEnded,
+    ShareLeaseEnded,
+    SlotReport,
     Withdraw,
 )
 from buckthornwall.membership import FreezeDetector, LeaseClock, MemberTable
@@ -40,14 +40,14 @@
 class _Role:
     """One pool that this instance schedules, for others or alone.
 
-    `supporters` holds when each instance last left us its part of the pool,
+    `lease_renewed_at` holds when each instance last left us its part of the pool,
     and `leases` under which number.
     """
 
     scheduler: PoolScheduler
     alone: bool
-    supporters: dict[NodeId, float] = field(default_factory=dict)
-    leases: dict[NodeId, int] = field(default_factory=dict)
+    lease_renewed_at: dict[NodeId, float] = field(default_factory=dict)
+    lease_numbers: dict[NodeId, int] = field(default_factory=dict)
     unacknowledged: list[tuple[NodeId, RequestId]] = field(default_factory=list)
 
 
@@ -153,8 +153,8 @@
             for role in touched:
                 role.scheduler.withdraw(message.request)
             return touched
-        if isinstance(message, Holdings):
-            return self._holdings(node, message, now)
+        if isinstance(message, SlotReport):
+            return self._receive_slot_report(node, message, now)
         return []
 
     def _enqueue(self, node: NodeId, message: Enqueue, now: float) -> list[_Role]:
@@ -186,13 +186,15 @@
             self._set_fraction(role, self.clock.now())
         return role
 
-    def _holdings(self, node: NodeId, message: Holdings, now: float) -> list[_Role]:
+    def _receive_slot_report(
+        self, node: NodeId, message: SlotReport, now: float
+    ) -> list[_Role]:
         if node == self.node:
             role = self.roles.get((message.pool, True))
             if role is not None:
-                role.scheduler.take_holdings(node, message.running, now)
-        if not message.support:
-            return self._end_support(node, message) if message.lease else []
+                role.scheduler.reconcile_slots(node, message.running, now)
+        if not message.renews_lease:
+            return self._end_lease(node, message) if message.lease else []
         if self.members.own_state is NodeState.LEAVING:
             return []
         if self.store.view is None or message.pool not in self.store.view.models:
@@ -201,38 +203,38 @@
         if now - sent_at > self.settings.support_s:
             return []  # held up for so long that the lease has ended
         role = self._role(message.pool, alone=False)
-        role.supporters[node] = sent_at
-        role.leases[node] = message.lease
-        role.scheduler.take_holdings(node, message.running, now)
+        role.lease_renewed_at[node] = sent_at
+        role.lease_numbers[node] = message.lease
+        role.scheduler.reconcile_slots(node, message.running, now)
         self._set_fraction(role, now)
         return [role]
 
-    def _lateness(self, node: NodeId, message: Holdings, now: float) -> float:
+    def _lateness(self, node: NodeId, message: SlotReport, now: float) -> float:
         if node == self.node:
             return 0.0
         member = self.members.members.get(node)
         incarnation = member.incarnation if member else Incarnation(0)
         return self.leases.lateness(node, incarnation, message.sent_at, now)
 
-    def _end_support(self, node: NodeId, message: Holdings) -> list[_Role]:
+    def _end_lease(self, node: NodeId, message: SlotReport) -> list[_Role]:
         role = self.roles.get((message.pool, False))
         touched = []
         if role is not None:
-            role.supporters.pop(node, None)
+            role.lease_renewed_at.pop(node, None)
             role.scheduler.forget_node(node)
             self._set_fraction(role, self.clock.now())
             touched.append(role)
-        self.send(node, SupportEnded(message.pool, message.lease))
+        self.send(node, ShareLeaseEnded(message.pool, message.lease))
         return touched
 
     def renew(self) -> None:
-        """Renew the parts we may use, and lay down pools without supporters."""
+        """Renew the parts we may use, and drop pools without leases."""
         now = self.clock.now()
         if self.store.view is None:
             return
         for key, role in list(self.roles.items()):
             self._set_fraction(role, now)
-            if not role.alone and not role.supporters:
+            if not role.alone and not role.lease_renewed_at:
                 del self.roles[key]
 
     def resign(self) -> None:
@@ -244,14 +246,14 @@
         for pool, alone in list(self.roles):
             if not alone:
                 role = self.roles.pop((pool, alone))
-                for node in role.supporters:
-                    self.send(node, SupportEnded(pool, role.leases[node]))
+                for node in role.lease_renewed_at:
+                    self.send(node, ShareLeaseEnded(pool, role.lease_numbers[node]))
 
     def node_lost(self, node: NodeId) -> None:
         """Forget what a suspected instance asked for and held."""
         for role in self.roles.values():
-            if not role.alone and node in role.supporters:
-                del role.supporters[node]
+            if not role.alone and node in role.lease_renewed_at:
+                del role.lease_renewed_at[node]
                 role.scheduler.forget_node(node)
 
     def _set_fraction(self, role: _Role, now: float) -> None:
@@ -260,11 +262,11 @@
         if role.alone:
             role.scheduler.fraction = 1 / expected
             return
-        for node, renewed_at in list(role.supporters.items()):
+        for node, renewed_at in list(role.lease_renewed_at.items()):
             if now - renewed_at > self.settings.support_s:
-                del role.supporters[node]
+                del role.lease_renewed_at[node]
                 role.scheduler.forget_node(node)
-        role.scheduler.fraction = min(1.0, len(role.supporters) / expected)
+        role.scheduler.fraction = min(1.0, len(role.lease_renewed_at) / expected)
 
     def _announce(self, decision: Decision, role: _Role) -> None:
         if isinstance(decision, PreemptDecision):
--- a/packages/buckthornwall/src/buckthornwall/scheduling/core.py
+++ b/packages/buckthornwall/src/buckthornwall/scheduling/core.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable, Iterable
 
 from buckthornwall.codes import ResultCode
-from buckthornwall.links import Enqueue, Holding, Release, ReleaseKind
+from buckthornwall.links import Enqueue, Release, ReleaseKind, ReportedSlot
 from buckthornwall.records import Model, RecordView, ServiceClass
 from buckthornwall.utils import (
     GrantId,
@@ -212,8 +212,8 @@
             target_s = min(own_s, self._pace_target() or own_s)
             engine.observe_inter_token(message.inter_token_s, target_s, now)
 
-    def take_holdings(
-        self, node: NodeId, running: Iterable[Holding], now: float
+    def reconcile_slots(
+        self, node: NodeId, running: Iterable[ReportedSlot], now: float
     ) -> None:
         """Make our count of a node's slots agree with what the node says."""
         said = {holding.grant: holding for holding in running}
@@ -223,9 +223,9 @@
             elif slot.confirmed or now - slot.granted_at > UNCONFIRMED_S:
                 self.slots.end(slot.grant)
         for holding in said.values():
-            self._take_holding(node, holding, now)
+            self._reconcile_slot(node, holding, now)
 
-    def _take_holding(self, node: NodeId, holding: Holding, now: float) -> None:
+    def _reconcile_slot(self, node: NodeId, holding: ReportedSlot, now: float) -> None:
         found = self.slots.get(holding.grant)
         if found is None:
             engine = self.engines.get(holding.engine)
--- a/packages/buckthornwall/src/buckthornwall/scheduling/entry.py
+++ b/packages/buckthornwall/src/buckthornwall/scheduling/entry.py
@@ -11,13 +11,13 @@
     Enqueue,
     EnqueueRefused,
     Grant,
-    Holding,
-    Holdings,
     Message,
     Preempt,
     Release,
     ReleaseKind,
-    SupportEnded,
+    ReportedSlot,
+    ShareLeaseEnded,
+    SlotReport,
     Withdraw,
 )
 from buckthornwall.membership import FreezeDetector, MemberTable
@@ -33,8 +33,8 @@
     new_id,
 )
 
-from .parts import PartLeases
 from .settings import SchedulingSettings
+from .share_leases import ShareLeaseManager
 
 __all__ = ["EntryAgent", "SlotRequest"]
 
@@ -139,14 +139,14 @@
         self.send = send
         self.waiting: dict[RequestId, _Waiting] = {}
         self.held: dict[GrantId, HeldSlot] = {}
-        self.parts = PartLeases(
+        self.share_leases = ShareLeaseManager(
             node,
             clock,
             settings,
             members,
             send,
             self.pools,
-            self.holdings,
+            self.slot_report,
             self._ask_again,
         )
         self.grants_dropped_late = 0
@@ -210,7 +210,7 @@
     def _whom_to_ask(self, waiting: _Waiting) -> tuple[NodeId, bool]:
         """Return the scheduler that has our part, or ourselves alone."""
         pool = waiting.slot_request.pool
-        holder = self.parts.holder(pool)
+        holder = self.share_leases.holder(pool)
         return (self.node, True) if holder is None else (holder, False)
 
     def _send_enqueue(
@@ -281,7 +281,7 @@
         if self.held.pop(slot.grant, None) is None:
             return
         message = Release(slot.grant, kind, slot.tokens, first_token_s, inter_token_s)
-        holder = self.parts.holder(slot.request.pool)
+        holder = self.share_leases.holder(slot.request.pool)
         for node in {slot.scheduler_node, holder or slot.scheduler_node}:
             self.send(node, message)
 
@@ -302,8 +302,8 @@
             slot = self.held.get(message.grant)
             if slot is not None:
                 slot.preempted = True
-        elif isinstance(message, SupportEnded):
-            self.parts.ended(node, message.pool, message.lease)
+        elif isinstance(message, ShareLeaseEnded):
+            self.share_leases.receive_lease_ended(node, message.pool, message.lease)
 
     def _take_refusal(self, node: NodeId, message: EnqueueRefused) -> None:
         waiting = self.waiting.get(message.request)
@@ -343,15 +343,15 @@
         """Return the pools of the records in force."""
         return list(self.store.view.models.values()) if self.store.view else []
 
-    def holdings(self, pool: ModelId) -> Holdings:
+    def slot_report(self, pool: ModelId) -> SlotReport:
         """Return what this entry holds of a pool, as a report about no lease."""
-        return Holdings(
+        return SlotReport(
             pool,
             False,
             0,
             self.clock.now(),
             [
-                Holding(
+                ReportedSlot(
                     slot.grant,
                     slot.engine,
                     slot.request.service_class.id,
--- a/packages/buckthornwall/src/buckthornwall/scheduling/parts.py
+++ b/packages/buckthornwall/src/buckthornwall/scheduling/share_leases.py
@@ -9,27 +9,27 @@
 
 import trio
 
-from buckthornwall.links import Holdings, Message
+from buckthornwall.links import Message, SlotReport
 from buckthornwall.membership import MemberTable
 from buckthornwall.records import Model, SchedulingMode
 from buckthornwall.utils import Clock, ModelId, NodeId
 
 from .settings import SchedulingSettings
 
-__all__ = ["PartLeases", "Support"]
+__all__ = ["ShareLeaseManager", "ShareLease"]
 
 
 @dataclass
-class Support:
+class ShareLease:
     """Whom this entry has left its part of a pool to, and since when."""
 
     scheduler: NodeId
-    lease: int
+    number: int
     renewed_at: float
     ending: bool = False
 
 
-class PartLeases:
+class ShareLeaseManager:
     """Gives, renews and ends the leases of this entry's parts.
 
     Parameters
@@ -42,9 +42,9 @@
         Sends a message to an instance, this one included.
     pools
         Returns the pools of the records in force.
-    holdings
+    slot_report
         Returns the report of what this entry holds of a pool.
-    ask_again
+    resend_requests
         Called for a pool whose part has changed hands.
     """
 
@@ -56,8 +56,8 @@
         members: MemberTable,
         send: Callable[[NodeId, Message], bool],
         pools: Callable[[], list[Model]],
-        holdings: Callable[[ModelId], Holdings],
-        ask_again: Callable[[ModelId], None],
+        slot_report: Callable[[ModelId], SlotReport],
+        resend_requests: Callable[[ModelId], None],
     ) -> None:
         self.node = node
         self.clock = clock
@@ -65,15 +65,15 @@
         self.members = members
         self.send = send
         self.pools = pools
-        self.holdings = holdings
-        self.ask_again = ask_again
-        self.supports: dict[ModelId, Support] = {}
-        self.leases_given = 0
+        self.slot_report = slot_report
+        self.resend_requests = resend_requests
+        self.leases: dict[ModelId, ShareLease] = {}
+        self.leases_issued = 0
 
     def holder(self, pool: ModelId) -> NodeId | None:
         """Return the scheduler that has our part, or None if it is ours."""
-        support = self.supports.get(pool)
-        return None if support is None or support.ending else support.scheduler
+        lease = self.leases.get(pool)
+        return None if lease is None or lease.ending else lease.scheduler
 
     async def run(self) -> None:
         """Report the slots in use to the pools' schedulers, again and again."""
@@ -95,55 +95,55 @@
         """
         now = self.clock.now()
         winner = self.members.winner(pool) if pooled else None
-        support = self.supports.get(pool)
-        if support is not None and support.scheduler != winner:
+        lease = self.leases.get(pool)
+        if lease is not None and lease.scheduler != winner:
             lease_s = self.settings.support_s + self.settings.support_margin_s
-            if now - support.renewed_at <= lease_s:
-                support.ending = True
-                message = Holdings(pool, False, support.lease, now, [])
-                self.send(support.scheduler, message)
+            if now - lease.renewed_at <= lease_s:
+                lease.ending = True
+                message = SlotReport(pool, False, lease.number, now, [])
+                self.send(lease.scheduler, message)
                 return
-            self.ended(support.scheduler, pool, support.lease)
+            self.receive_lease_ended(lease.scheduler, pool, lease.number)
             return
-        if support is not None and support.ending:
+        if lease is not None and lease.ending:
             # The fleet looks again as it did. Under a new number, since the
             # end of the old lease may already be on its way.
-            support.ending = False
-            support.lease = self._next_lease()
-            self.ask_again(pool)
+            lease.ending = False
+            lease.number = self._next_number()
+            self.resend_requests(pool)
         if winner is not None:
-            self._give(pool, winner, now)
-
-    def _next_lease(self) -> int:
-        self.leases_given += 1
-        return self.leases_given
-
-    def _give(self, pool: ModelId, winner: NodeId, now: float) -> None:
-        held = self.supports.get(pool)
-        support = held or Support(winner, self._next_lease(), now)
-        message = self.holdings(pool)
-        message.support = True
-        message.lease = support.lease
-        if not self.send(winner, message):
+            self._send_renewal(pool, winner, now)
+
+    def _next_number(self) -> int:
+        self.leases_issued += 1
+        return self.leases_issued
+
+    def _send_renewal(self, pool: ModelId, scheduler: NodeId, now: float) -> None:
+        existing = self.leases.get(pool)
+        lease = existing or ShareLease(scheduler, self._next_number(), now)
+        message = self.slot_report(pool)
+        message.renews_lease = True
+        message.lease = lease.number
+        if not self.send(scheduler, message):
             return
-        support.renewed_at = now
-        if held is None:
-            self.supports[pool] = support
-            self.ask_again(pool)
+        lease.renewed_at = now
+        if existing is None:
+            self.leases[pool] = lease
+            self.resend_requests(pool)
 
-    def ended(self, node: NodeId, pool: ModelId, lease: int) -> None:
+    def receive_lease_ended(self, node: NodeId, pool: ModelId, number: int) -> None:
         """Take a scheduler's word that it no longer counts on a lease."""
-        support = self.supports.get(pool)
-        if support is None or (support.scheduler, support.lease) != (node, lease):
+        lease = self.leases.get(pool)
+        if lease is None or (lease.scheduler, lease.number) != (node, number):
             return
-        del self.supports[pool]
-        self.ask_again(pool)
+        del self.leases[pool]
+        self.resend_requests(pool)
         self.renew()
 
     def _report_to_self(self, pool: ModelId) -> None:
         """Tell our own scheduler what we hold, without a part to go with it."""
-        support = self.supports.get(pool)
-        if support is None or support.scheduler != self.node:
-            holdings = self.holdings(pool)
-            if holdings.running:
-                self.send(self.node, holdings)
+        lease = self.leases.get(pool)
+        if lease is None or lease.scheduler != self.node:
+            slot_report = self.slot_report(pool)
+            if slot_report.running:
+                self.send(self.node, slot_report)
--- a/packages/buckthornwall/src/buckthornwall/scheduling/tests/test_entry.py
+++ b/packages/buckthornwall/src/buckthornwall/scheduling/tests/test_entry.py
@@ -19,7 +19,7 @@
     MemberTable,
 )
 from buckthornwall.scheduling import EntryAgent, SchedulingSettings, SlotRequest
-from buckthornwall.scheduling.parts import Support
+from buckthornwall.scheduling.share_leases import ShareLease
 from buckthornwall.utils import TrioClock
 
 SCHEDULER = "b"
@@ -47,7 +47,7 @@
         FreezeDetector(clock, 1000.0),
         send,
     )
-    agent.parts.supports["m"] = Support(SCHEDULER, 1, clock.now())
+    agent.share_leases.leases["m"] = ShareLease(SCHEDULER, 1, clock.now())
     return agent
 
 
@@ -76,11 +76,11 @@
         nursery.start_soon(answer, entry, sent, grant_for)
         slot = await entry.acquire(wanted(entry))
     assert slot.engine == "e1"
-    assert entry.holdings("m").running[0].grant == 77
+    assert entry.slot_report("m").running[0].grant == 77
     slot.tokens = 5
     entry.release(slot, ReleaseKind.DONE)
     assert of_kind(sent, Release)[-1].tokens == 5
-    assert entry.holdings("m").running == []
+    assert entry.slot_report("m").running == []
 
 
 async def test_a_refusal_is_final_at_once(entry, sent, autojump_clock):
--- a/packages/buckthornwall/src/buckthornwall/scheduling/tests/test_scheduler.py
+++ b/packages/buckthornwall/src/buckthornwall/scheduling/tests/test_scheduler.py
@@ -4,7 +4,7 @@
 
 from buckthornwall.codes import ResultCode
 from buckthornwall.conftest import encode, make_records
-from buckthornwall.links import Enqueue, Holding, Release, ReleaseKind
+from buckthornwall.links import Enqueue, Release, ReleaseKind, ReportedSlot
 from buckthornwall.records import parse_records
 from buckthornwall.scheduling import GrantDecision, PoolScheduler, RefusalDecision
 from buckthornwall.scheduling.core import STARVATION_S
@@ -247,8 +247,8 @@
 
 
 def test_what_entries_hold_counts_before_anything_is_granted(scheduler):
-    held = [Holding(900 + n, "e1", "urgent", "one", 5) for n in range(4)]
-    scheduler.take_holdings("n2", held, 0.0)
+    held = [ReportedSlot(900 + n, "e1", "urgent", "one", 5) for n in range(4)]
+    scheduler.reconcile_slots("n2", held, 0.0)
     enqueue(scheduler, 20, "urgent")
     assert {each.engine for each in granted(scheduler.decide(0.0))} == {"e2"}
     scheduler.forget_node("n2")
@@ -258,9 +258,11 @@
 def test_a_slot_whose_release_was_lost_comes_back(scheduler):
     scheduler.enqueue(NODE, ask(1, "urgent"), 0.0)
     grant = granted(scheduler.decide(0.0))[0].grant
-    scheduler.take_holdings(NODE, [Holding(grant, "e1", "urgent", "one", 3)], 1.0)
+    scheduler.reconcile_slots(
+        NODE, [ReportedSlot(grant, "e1", "urgent", "one", 3)], 1.0
+    )
     assert len(scheduler.slots) == 1
-    scheduler.take_holdings(NODE, [], 2.0)
+    scheduler.reconcile_slots(NODE, [], 2.0)
     assert not scheduler.slots
 
 
