--- a/packages/buckthornwall-standins/src/buckthornwall_standins/tests/test_faults.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/tests/test_faults.py
@@ -117,7 +117,7 @@
     """Leave without waiting for what is in flight."""
 
     async def stop(self, callers_closed):
-        self.members.set_own_state(NodeState.LEAVING)
+        self.members.set_local_state(NodeState.LEAVING)
 
     monkeypatch.setattr(Node, "_stop", stop)
 
--- a/packages/buckthornwall/src/buckthornwall/links/messages.py
+++ b/packages/buckthornwall/src/buckthornwall/links/messages.py
@@ -116,7 +116,7 @@
     """Ask a pool's scheduler for a slot; repeating it changes nothing.
 
     `start_within_s` counts from sending, which was at `sent_at` on the entry's
-    clock. With `alone` the receiver, always
+    clock. With `local` the receiver, always
     the sender itself, decides within its own part of the pool.
     """
 
@@ -131,7 +131,7 @@
     waited_s: float = 0.0
     excluded: list[UpstreamId] = []
     resumed: bool = False
-    alone: bool = False
+    local: bool = False
     preemptible: bool = False
 
 
@@ -164,7 +164,7 @@
     asked_at: float
     age_s: float
     valid_s: float
-    alone: bool = False
+    local: bool = False
 
 
 class Preempt(Struct, array_like=True, tag=19):
@@ -187,7 +187,7 @@
     """The caller is gone; forget the request."""
 
     request: RequestId
-    alone: bool = False
+    local: bool = False
 
 
 class ReportedSlot(Struct, array_like=True):
--- a/packages/buckthornwall/src/buckthornwall/links/tests/test_links.py
+++ b/packages/buckthornwall/src/buckthornwall/links/tests/test_links.py
@@ -27,7 +27,7 @@
 
 
 def test_messages_survive_the_codec():
-    batch = [HEARTBEAT, Accepted(5), Withdraw(6, alone=True)]
+    batch = [HEARTBEAT, Accepted(5), Withdraw(6, local=True)]
     assert decode_batch(encode_batch(batch)) == batch
 
 
--- a/packages/buckthornwall/src/buckthornwall/membership/core.py
+++ b/packages/buckthornwall/src/buckthornwall/membership/core.py
@@ -66,7 +66,7 @@
     def __init__(self, node: NodeId, settings: MembershipSettings) -> None:
         self.node = node
         self.settings = settings
-        self.own_state = NodeState.JOINING
+        self.local_state = NodeState.JOINING
         self.members: dict[NodeId, Member] = {}
         self.list_seen = False
         self._winners: dict[str, NodeId | None] = {}
@@ -170,7 +170,7 @@
             for member in self.members.values()
             if member.last_heard is not None and member.state is NodeState.READY
         ]
-        if self.own_state is NodeState.READY:
+        if self.local_state is NodeState.READY:
             nodes.append(self.node)
         return nodes
 
@@ -200,9 +200,9 @@
             self._winners[role] = rendezvous_winner(role, self.live())
         return self._winners[role]
 
-    def set_own_state(self, state: NodeState) -> None:
+    def set_local_state(self, state: NodeState) -> None:
         """Change what this instance says of itself."""
-        self.own_state = state
+        self.local_state = state
         self._winners.clear()
 
     def upstream_leaving(
--- a/packages/buckthornwall/src/buckthornwall/membership/tests/test_membership.py
+++ b/packages/buckthornwall/src/buckthornwall/membership/tests/test_membership.py
@@ -14,7 +14,7 @@
 @pytest.fixture
 def table():
     table = MemberTable("a", MembershipSettings())
-    table.set_own_state(NodeState.READY)
+    table.set_local_state(NodeState.READY)
     peers = {name: PeerAddress(name, "127.0.0.1:1", "z") for name in "abc"}
     table.apply_list(peers, 0.0)
     return table
--- a/packages/buckthornwall/src/buckthornwall/node/announcer.py
+++ b/packages/buckthornwall/src/buckthornwall/node/announcer.py
@@ -80,7 +80,7 @@
     def _heartbeat(self, peers: list[PeerAddress]) -> Heartbeat:
         return Heartbeat(
             self.incarnation,
-            self.members.own_state,
+            self.members.local_state,
             self.zone,
             self.store.number,
             self.store.digest,
--- a/packages/buckthornwall/src/buckthornwall/node/core.py
+++ b/packages/buckthornwall/src/buckthornwall/node/core.py
@@ -290,7 +290,7 @@
 
     def is_ready(self) -> bool:
         """Tell whether callers should be sent here."""
-        return self.members.own_state is NodeState.READY
+        return self.members.local_state is NodeState.READY
 
     def _route_timeout(self, route_id: str) -> float:
         view = self.store.view
@@ -339,7 +339,7 @@
     async def _join(self) -> None:
         """Serve only once the newest records that can be heard of are in force."""
         await self.newest.wait(self.stopping)
-        self.members.set_own_state(NodeState.READY)
+        self.members.set_local_state(NodeState.READY)
         self.announcer.send_heartbeats()
         log_event("ready", records=self.store.number)
 
@@ -381,7 +381,7 @@
         while and every answer asks its caller to connect elsewhere.
         """
         log_event("stopping", in_flight=self.app.in_flight)
-        self.members.set_own_state(NodeState.LEAVING)
+        self.members.set_local_state(NodeState.LEAVING)
         self.app.draining = True
         self.announcer.send_heartbeats()
         self.scheduler.resign()
--- a/packages/buckthornwall/src/buckthornwall/node/newest.py
+++ b/packages/buckthornwall/src/buckthornwall/node/newest.py
@@ -66,7 +66,7 @@
         After a freeze the sockets still hold what came meanwhile, oldest
         first, so only what is heard a while after waking counts.
         """
-        if self.members.own_state is not NodeState.READY or self.records.is_stale:
+        if self.members.local_state is not NodeState.READY or self.records.is_stale:
             return False
         alone = not self.members.members
         heard = max(self.heard_at, self.records.platform_ok_at or NEVER)
--- a/packages/buckthornwall/src/buckthornwall/node/status.py
+++ b/packages/buckthornwall/src/buckthornwall/node/status.py
@@ -14,7 +14,7 @@
         "node": node.node,
         "zone": node.zone,
         "incarnation": node.incarnation,
-        "state": node.members.own_state.name.lower(),
+        "state": node.members.local_state.name.lower(),
         "freezes": node.freeze.count,
         "in_flight": node.app.in_flight,
         "records": _records(node.store),
@@ -29,11 +29,11 @@
         "pools": [
             {
                 "pool": pool,
-                "alone": alone,
+                "alone": local,
                 "supporters": sorted(role.lease_renewed_at),
                 **_scheduler(role.scheduler),
             }
-            for (pool, alone), role in node.scheduler.roles.items()
+            for (pool, local), role in node.scheduler.roles.items()
         ],
         "keys": {
             "issued": node.idempotency.own.next_serial - 1,
@@ -47,7 +47,7 @@
         "entry": {
             "held": len(node.entry.held),
             "waiting": len(node.entry.waiting),
-            "decided_alone": node.entry.decided_alone,
+            "decided_alone": node.entry.decided_locally,
             "late_grants": node.entry.grants_dropped_late,
         },
     }
--- a/packages/buckthornwall/src/buckthornwall/scheduling/agent.py
+++ b/packages/buckthornwall/src/buckthornwall/scheduling/agent.py
@@ -38,14 +38,14 @@
 
 @dataclass
 class _Role:
-    """One pool that this instance schedules, for others or alone.
+    """One pool that this instance schedules, for others or for itself only.
 
     `lease_renewed_at` holds when each instance last left us its part of the pool,
     and `leases` under which number.
     """
 
     scheduler: PoolScheduler
-    alone: bool
+    local: bool
     lease_renewed_at: dict[NodeId, float] = field(default_factory=dict)
     lease_numbers: dict[NodeId, int] = field(default_factory=dict)
     unacknowledged: list[tuple[NodeId, RequestId]] = field(default_factory=list)
@@ -149,7 +149,7 @@
                 role.scheduler.release(message, now)
             return touched
         if isinstance(message, Withdraw):
-            touched = [r for r in roles if r.alone == message.alone]
+            touched = [r for r in roles if r.local == message.local]
             for role in touched:
                 role.scheduler.withdraw(message.request)
             return touched
@@ -162,27 +162,27 @@
             code = ResultCode.UNKNOWN_MODEL.number
             self.send(node, EnqueueRefused(message.request, code, UNKNOWN_RETRY_S))
             return []
-        role = self.roles.get((message.pool, message.alone))
-        if role is None and not message.alone:
+        role = self.roles.get((message.pool, message.local))
+        if role is None and not message.local:
             return []  # not left to us; the sender finds out whose it is
-        role = role or self._role(message.pool, alone=True)
+        role = role or self._role(message.pool, local=True)
         for decision in role.scheduler.enqueue(node, message, now):
             self._announce(decision, role)
         role.unacknowledged.append((node, message.request))
         return [role]
 
-    def _role(self, pool: ModelId, alone: bool) -> _Role:
-        role = self.roles.get((pool, alone))
+    def _role(self, pool: ModelId, local: bool) -> _Role:
+        role = self.roles.get((pool, local))
         if role is None:
             mode = self.store.view.models[pool].scheduling
-            by_report = alone and mode is SchedulingMode.ALONE
+            by_report = local and mode is SchedulingMode.ALONE
             scheduler = PoolScheduler.from_config(
                 pool,
                 self.store.view,
                 self.members.is_leaving,
                 reported_load if by_report else exact_share,
             )
-            role = self.roles[pool, alone] = _Role(scheduler, alone)
+            role = self.roles[pool, local] = _Role(scheduler, local)
             self._set_fraction(role, self.clock.now())
         return role
 
@@ -195,14 +195,14 @@
                 role.scheduler.reconcile_slots(node, message.running, now)
         if not message.renews_lease:
             return self._end_lease(node, message) if message.lease else []
-        if self.members.own_state is NodeState.LEAVING:
+        if self.members.local_state is NodeState.LEAVING:
             return []
         if self.store.view is None or message.pool not in self.store.view.models:
             return []
         sent_at = now - self._lateness(node, message, now)
         if now - sent_at > self.settings.support_s:
             return []  # held up for so long that the lease has ended
-        role = self._role(message.pool, alone=False)
+        role = self._role(message.pool, local=False)
         role.lease_renewed_at[node] = sent_at
         role.lease_numbers[node] = message.lease
         role.scheduler.reconcile_slots(node, message.running, now)
@@ -234,7 +234,7 @@
             return
         for key, role in list(self.roles.items()):
             self._set_fraction(role, now)
-            if not role.alone and not role.lease_renewed_at:
+            if not role.local and not role.lease_renewed_at:
                 del self.roles[key]
 
     def resign(self) -> None:
@@ -243,23 +243,23 @@
         Whoever waits here hears that its part is its own again, and asks the
         next scheduler.
         """
-        for pool, alone in list(self.roles):
-            if not alone:
-                role = self.roles.pop((pool, alone))
+        for pool, local in list(self.roles):
+            if not local:
+                role = self.roles.pop((pool, local))
                 for node in role.lease_renewed_at:
                     self.send(node, ShareLeaseEnded(pool, role.lease_numbers[node]))
 
     def node_lost(self, node: NodeId) -> None:
         """Forget what a suspected instance asked for and held."""
         for role in self.roles.values():
-            if not role.alone and node in role.lease_renewed_at:
+            if not role.local and node in role.lease_renewed_at:
                 del role.lease_renewed_at[node]
                 role.scheduler.forget_node(node)
 
     def _set_fraction(self, role: _Role, now: float) -> None:
         """Set the part of the slots that this scheduler may use."""
         expected = self.members.expected()
-        if role.alone:
+        if role.local:
             role.scheduler.fraction = 1 / expected
             return
         for node, renewed_at in list(role.lease_renewed_at.items()):
@@ -282,7 +282,7 @@
                 ticket.asked_at,
                 self.clock.now() - ticket.received,
                 self.settings.grant_valid_s,
-                role.alone,
+                role.local,
             )
         else:
             message = EnqueueRefused(
--- a/packages/buckthornwall/src/buckthornwall/scheduling/engines.py
+++ b/packages/buckthornwall/src/buckthornwall/scheduling/engines.py
@@ -106,7 +106,7 @@
 
 
 def reported_load(engine: EngineState, fraction: float) -> int:
-    """Capacity by the engine's lagging report, for a node that decides alone.
+    """Capacity by the engine's lagging report, for a node that decides by itself.
 
     What others use is what the engine reported less what we ran then; the
     pool's fraction plays no part, as in a plain least-loaded balancer.
--- a/packages/buckthornwall/src/buckthornwall/scheduling/entry.py
+++ b/packages/buckthornwall/src/buckthornwall/scheduling/entry.py
@@ -80,7 +80,7 @@
     engine: UpstreamId
     request: SlotRequest
     scheduler_node: NodeId
-    alone: bool
+    local: bool
     taken_at: float
     tokens: int = 0
     preempted: bool = False
@@ -150,7 +150,7 @@
             self._ask_again,
         )
         self.grants_dropped_late = 0
-        self.decided_alone = 0
+        self.decided_locally = 0
 
     # The request's own task
 
@@ -195,20 +195,20 @@
             )
             waiting.refusal = Refusal(code, retry_after_s=1.0)
             return
-        target, alone = self._whom_to_ask(waiting)
+        target, local = self._whom_to_ask(waiting)
         urgent = waiting.slot_request.service_class.urgent
         pause_s = self.settings.urgent_ack_s if urgent else self.settings.repeat_s
-        waiting.acknowledged = alone
+        waiting.acknowledged = local
         waiting.ask_again = False
-        self._send_enqueue(request, waiting, target, alone, left_s)
+        self._send_enqueue(request, waiting, target, local, left_s)
         with trio.move_on_after(min(pause_s, left_s)):
             while not waiting.settled:
                 await waiting.news.wait()
         if urgent and not waiting.settled and not waiting.acknowledged:
-            self._decide_alone(request, waiting)
+            self._decide_locally(request, waiting)
 
     def _whom_to_ask(self, waiting: _Waiting) -> tuple[NodeId, bool]:
-        """Return the scheduler that has our part, or ourselves alone."""
+        """Return the scheduler that has our part, or this instance."""
         pool = waiting.slot_request.pool
         holder = self.share_leases.holder(pool)
         return (self.node, True) if holder is None else (holder, False)
@@ -218,12 +218,12 @@
         request: RequestId,
         waiting: _Waiting,
         target: NodeId,
-        alone: bool,
+        local: bool,
         left_s: float,
     ) -> None:
         slot_request = waiting.slot_request
         now = self.clock.now()
-        waiting.asked.add((target, alone))
+        waiting.asked.add((target, local))
         message = Enqueue(
             request,
             slot_request.pool,
@@ -236,27 +236,27 @@
             now - slot_request.started,
             slot_request.excluded,
             slot_request.resumed,
-            alone,
+            local,
             slot_request.preemptible,
         )
         self.send(target, message)
 
-    def _decide_alone(self, request: RequestId, waiting: _Waiting) -> None:
+    def _decide_locally(self, request: RequestId, waiting: _Waiting) -> None:
         if (self.node, True) in waiting.asked:
             return
         left_s = waiting.slot_request.start_deadline() - self.clock.now()
         if left_s > 0:
-            self.decided_alone += 1
+            self.decided_locally += 1
             self._send_enqueue(request, waiting, self.node, True, left_s)
 
     def _withdraw_elsewhere(self, request: RequestId, waiting: _Waiting) -> None:
         slot = waiting.slot
-        for node, alone in waiting.asked:
-            if slot and (slot.scheduler_node, slot.alone) == (node, alone):
+        for node, local in waiting.asked:
+            if slot and (slot.scheduler_node, slot.local) == (node, local):
                 continue
             if waiting.refusal is not None and len(waiting.asked) == 1:
                 continue
-            self.send(node, Withdraw(request, alone))
+            self.send(node, Withdraw(request, local))
 
     def _check_still_due(self, slot_request: SlotRequest) -> None:
         """Refuse a request that a freeze has made too late to start.
@@ -332,7 +332,7 @@
             message.engine,
             waiting.slot_request,
             node,
-            message.alone,
+            message.local,
             now,
         )
         self.held[slot.grant] = slot
--- a/packages/buckthornwall/src/buckthornwall/scheduling/share_leases.py
+++ b/packages/buckthornwall/src/buckthornwall/scheduling/share_leases.py
@@ -1,7 +1,7 @@
 """The entry's leases of its part of each pool.
 
 An entry leaves its part of a pool to one scheduler at a time; until it has
-left it to somebody, or while a lease ends, it decides alone within it.
+left it to somebody, or while a lease ends, it decides by itself within it.
 """
 
 from collections.abc import Callable
--- a/packages/buckthornwall/src/buckthornwall/scheduling/tests/test_entry.py
+++ b/packages/buckthornwall/src/buckthornwall/scheduling/tests/test_entry.py
@@ -60,8 +60,8 @@
     return [message for _, message in sent if isinstance(message, kind)]
 
 
-def grant_for(enqueue, age_s=0.0, alone=False):
-    return Grant(enqueue.request, 77, "e1", 1, enqueue.sent_at, age_s, 1.0, alone)
+def grant_for(enqueue, age_s=0.0, local=False):
+    return Grant(enqueue.request, 77, "e1", 1, enqueue.sent_at, age_s, 1.0, local)
 
 
 async def answer(entry, sent, make):
@@ -121,14 +121,14 @@
     entry, sent, autojump_clock
 ):
     async def decide():
-        while not (here := [each for each in of_kind(sent, Enqueue) if each.alone]):
+        while not (here := [each for each in of_kind(sent, Enqueue) if each.local]):
             await trio.sleep(0.001)
-        entry.handle("a", grant_for(here[0], alone=True))
+        entry.handle("a", grant_for(here[0], local=True))
 
     async with trio.open_nursery() as nursery:
         nursery.start_soon(decide)
         slot = await entry.acquire(wanted(entry))
-    assert slot.alone
+    assert slot.local
     assert trio.current_time() < 0.2
     assert (SCHEDULER, Withdraw(of_kind(sent, Enqueue)[0].request)) in sent
 
@@ -140,7 +140,7 @@
         await entry.acquire(wanted(entry, "routine"))
     assert caught.value.code is ResultCode.NO_SCHEDULER
     assert trio.current_time() == pytest.approx(2.0, abs=0.01)
-    assert not any(message.alone for message in of_kind(sent, Enqueue))
+    assert not any(message.local for message in of_kind(sent, Enqueue))
 
 
 async def test_a_slot_that_comes_as_the_caller_goes_is_given_back(
