--- a/packages/buckthornwall/src/buckthornwall/pools/table.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/table.py
@@ -180,7 +180,7 @@
                 log_event("engine_speed", pool=pool, **model.describe())
 
     def reserved_engines(self, pool: PoolId) -> ReservedEngines:
-        """Return which engines of a pool are kept for pause-sensitive streams."""
+        """Return the engines of a pool reserved for pause-sensitive streams."""
         if pool not in self._reserved_engines:
             self._reserved_engines[pool] = ReservedEngines(pool, self.model(pool))
         return self._reserved_engines[pool]
