--- a/packages/buckthornwall/src/buckthornwall/router/tests/test_state_sync.py
+++ b/packages/buckthornwall/src/buckthornwall/router/tests/test_state_sync.py
@@ -38,7 +38,7 @@
 
 @pytest.fixture
 def sync(clock):
-    """Return a member with version 1 that has just received its speaker's digest."""
+    """Return a member with version 1 and a recent digest of a far heavier speaker."""
     discovery = DiscoveryAgent(
         DiscoverySettings(), None, decode, RoutingTable(), PoolTable(clock), clock
     )
