--- a/packages/buckthornwall/src/buckthornwall/idempotency/agent.py
+++ b/packages/buckthornwall/src/buckthornwall/idempotency/agent.py
@@ -211,7 +211,7 @@
         return (
             member is not None
             and member.incarnation not in (0, key.incarnation)
-            and member.last_heard is not None
+            and member.last_heartbeat_at is not None
         )
 
     async def _call_owner(
--- a/packages/buckthornwall/src/buckthornwall/links/messages.py
+++ b/packages/buckthornwall/src/buckthornwall/links/messages.py
@@ -207,7 +207,7 @@
     the sender's part of the pool. Without, it ends the lease at once.
     `lease` numbers the sender's leases of the pool, so that the answer to the
     end of one is not taken for the end of the next; it is 0 in a report that
-    is about no lease. `sent_at` is on the sender's clock; see `LeaseClock`.
+    is about no lease. `sent_at` is on the sender's clock; see `DelayEstimator`.
     """
 
     pool: ModelId
--- a/packages/buckthornwall/src/buckthornwall/membership/__init__.py
+++ b/packages/buckthornwall/src/buckthornwall/membership/__init__.py
@@ -6,7 +6,7 @@
 
 __all__ = [
     "FreezeDetector",
-    "LeaseClock",  # noqa: F822 - imported at its first use
+    "DelayEstimator",  # noqa: F822 - imported at its first use
     "Member",  # noqa: F822 - imported at its first use
     "MemberTable",  # noqa: F822 - imported at its first use
     "MembershipSettings",  # noqa: F822 - imported at its first use
@@ -15,7 +15,7 @@
 __getattr__ = lazy_exports(
     __name__,
     {
-        "LeaseClock": "lease",
+        "DelayEstimator": "delay",
         "Member": "core",
         "MemberTable": "core",
         "MembershipSettings": "core",
--- a/packages/buckthornwall/src/buckthornwall/membership/core.py
+++ b/packages/buckthornwall/src/buckthornwall/membership/core.py
@@ -40,7 +40,7 @@
 
 @dataclass
 class Member:
-    """What is known of one other instance; `last_heard` is None if suspected."""
+    """What is known of one other instance; `last_heartbeat_at` is None if suspected."""
 
     node: NodeId
     address: str
@@ -48,7 +48,7 @@
     listed: bool = False
     state: NodeState = NodeState.JOINING
     incarnation: Incarnation = Incarnation(0)
-    last_heard: float | None = None
+    last_heartbeat_at: float | None = None
     silent_since: float = 0.0
 
 
@@ -68,20 +68,20 @@
         self.settings = settings
         self.local_state = NodeState.JOINING
         self.members: dict[NodeId, Member] = {}
-        self.list_seen = False
+        self.list_received = False
         self._winners: dict[str, NodeId | None] = {}
         self._leaving_until: dict[UpstreamId, float] = {}
-        self._leaving_first_hand: dict[UpstreamId, float] = {}
+        self._first_hand_leaving_until: dict[UpstreamId, float] = {}
 
     def apply_list(self, listed: dict[NodeId, PeerAddress], now: float) -> None:
         """Take the platform's list of entry instances, however old it is."""
-        self.list_seen = True
+        self.list_received = True
         for node, peer in listed.items():
             if node != self.node:
                 member = self._member(node, peer.address, now)
                 member.zone = peer.zone
                 member.listed = True
-                if member.last_heard is None:
+                if member.last_heartbeat_at is None:
                     member.address = peer.address
         for node, member in list(self.members.items()):
             member.listed = node in listed
@@ -92,12 +92,12 @@
             self.members[node] = Member(node, address, silent_since=now)
         return self.members[node]
 
-    def learn(self, peer: PeerAddress, now: float) -> None:
+    def add_peer(self, peer: PeerAddress, now: float) -> None:
         """Note an instance that a peer or a setting names."""
         if peer.node != self.node:
             self._member(peer.node, peer.address, now)
 
-    def heard(
+    def record_heartbeat(
         self,
         node: NodeId,
         incarnation: Incarnation,
@@ -114,7 +114,7 @@
         """
         member = self._member(node, "", now)
         fresh = (
-            member.last_heard is None
+            member.last_heartbeat_at is None
             or member.state is not state
             or member.incarnation != incarnation
         )
@@ -123,14 +123,14 @@
         member.incarnation = incarnation
         member.state = state
         member.zone = zone
-        member.last_heard = now
+        member.last_heartbeat_at = now
         return fresh
 
     def suspect(self, node: NodeId, now: float) -> None:
         """Take a broken link as a sign that the member is gone."""
         member = self.members.get(node)
-        if member is not None and member.last_heard is not None:
-            member.last_heard = None
+        if member is not None and member.last_heartbeat_at is not None:
+            member.last_heartbeat_at = None
             member.silent_since = now
             self._winners.clear()
 
@@ -139,8 +139,8 @@
         silent = [
             member.node
             for member in self.members.values()
-            if member.last_heard is not None
-            and now - member.last_heard > self.settings.suspect_after_s
+            if member.last_heartbeat_at is not None
+            and now - member.last_heartbeat_at > self.settings.suspect_after_s
         ]
         for node in silent:
             self.suspect(node, now)
@@ -151,14 +151,14 @@
     def _forget_if_gone(self, member: Member, now: float) -> None:
         silent_s = now - member.silent_since
         if (
-            self.list_seen
+            self.list_received
             and not member.listed
-            and member.last_heard is None
+            and member.last_heartbeat_at is None
             and silent_s > self.settings.forget_after_s
         ):
             del self.members[member.node]
 
-    def forget_views(self, now: float) -> None:
+    def suspect_all(self, now: float) -> None:
         """After a freeze: nobody counts as heard until heard again."""
         for node in self.members:
             self.suspect(node, now)
@@ -168,29 +168,29 @@
         nodes = [
             member.node
             for member in self.members.values()
-            if member.last_heard is not None and member.state is NodeState.READY
+            if member.last_heartbeat_at is not None and member.state is NodeState.READY
         ]
         if self.local_state is NodeState.READY:
             nodes.append(self.node)
         return nodes
 
-    def heard_nodes(self) -> set[NodeId]:
+    def unsuspected_nodes(self) -> set[NodeId]:
         """Return every instance that is not suspected, this one included."""
         nodes = {
             member.node
             for member in self.members.values()
-            if member.last_heard is not None
+            if member.last_heartbeat_at is not None
         }
         return nodes | {self.node}
 
-    def expected(self) -> int:
+    def share_count(self) -> int:
         """Count the instances that may hold a part of the pools' slots.
 
         A suspected instance counts for as long as the platform lists it: it
         may be on the far side of a partition and still use its part.
         """
         return 1 + sum(
-            member.listed or member.last_heard is not None
+            member.listed or member.last_heartbeat_at is not None
             for member in self.members.values()
         )
 
@@ -205,9 +205,7 @@
         self.local_state = state
         self._winners.clear()
 
-    def upstream_leaving(
-        self, upstream: UpstreamId, now: float, first_hand: bool
-    ) -> None:
+    def mark_leaving(self, upstream: UpstreamId, now: float, first_hand: bool) -> None:
         """Believe at once that an upstream is leaving.
 
         Only what came first hand, from the platform's list or the upstream, is
@@ -216,21 +214,21 @@
         until = now + self.settings.leaving_ttl_s
         self._leaving_until[upstream] = until
         if first_hand:
-            self._leaving_first_hand[upstream] = until
+            self._first_hand_leaving_until[upstream] = until
 
-    def upstream_listed_live(self, upstream: UpstreamId) -> None:
+    def clear_leaving(self, upstream: UpstreamId) -> None:
         """Take a newer list's word that an upstream is back."""
         self._leaving_until.pop(upstream, None)
-        self._leaving_first_hand.pop(upstream, None)
+        self._first_hand_leaving_until.pop(upstream, None)
 
     def is_leaving(self, upstream: UpstreamId, now: float) -> bool:
         """Tell whether an upstream should get no new work."""
         return self._leaving_until.get(upstream, now) > now
 
-    def leaving_news(self, now: float) -> list[UpstreamId]:
+    def leaving_upstreams(self, now: float) -> list[UpstreamId]:
         """Return the upstreams known first hand to be leaving."""
         return [
             upstream
-            for upstream, until in self._leaving_first_hand.items()
+            for upstream, until in self._first_hand_leaving_until.items()
             if until > now
         ]
--- a/packages/buckthornwall/src/buckthornwall/node/announcer.py
+++ b/packages/buckthornwall/src/buckthornwall/node/announcer.py
@@ -60,7 +60,7 @@
         self.dial()
 
     def _learn(self, node: NodeId, address: str) -> None:
-        self.members.learn(PeerAddress(node, address, ZoneId("")), self.clock.now())
+        self.members.add_peer(PeerAddress(node, address, ZoneId("")), self.clock.now())
 
     def greet(self, node: NodeId) -> None:
         """Tell a member whose link is up of all others."""
@@ -84,6 +84,6 @@
             self.zone,
             self.store.number,
             self.store.digest,
-            self.members.leaving_news(self.clock.now()),
+            self.members.leaving_upstreams(self.clock.now()),
             peers,
         )
--- a/packages/buckthornwall/src/buckthornwall/node/core.py
+++ b/packages/buckthornwall/src/buckthornwall/node/core.py
@@ -243,13 +243,13 @@
     def _heartbeat(self, node: NodeId, message: Heartbeat) -> None:
         now = self.clock.now()
         self.newest.note_heard(now)
-        fresh = self.members.heard(
+        fresh = self.members.record_heartbeat(
             node, message.incarnation, message.state, message.zone, now
         )
         for upstream in message.leaving_upstreams:
-            self.members.upstream_leaving(upstream, now, first_hand=False)
+            self.members.mark_leaving(upstream, now, first_hand=False)
         for peer in message.peers:
-            self.members.learn(peer, now)
+            self.members.add_peer(peer, now)
         if message.peers:
             self.announcer.dial()
         self.records.handle(node, message)
@@ -275,7 +275,7 @@
         now = self.clock.now()
         log_event("freeze_detected", "WARNING", freezes=self.freeze.count)
         self.newest.note_freeze(now)
-        self.members.forget_views(now)
+        self.members.suspect_all(now)
 
     def _records_changed(self) -> None:
         self.scheduler.records_changed()
@@ -298,7 +298,7 @@
         return route.timeout_s if route else self.settings.idempotency.hand_over_s
 
     def _engine_is_leaving(self, engine: UpstreamId) -> None:
-        self.members.upstream_leaving(engine, self.clock.now(), first_hand=True)
+        self.members.mark_leaving(engine, self.clock.now(), first_hand=True)
         self.announcer.send_heartbeats()
 
     def _raw_records(self) -> bytes:
--- a/packages/buckthornwall/src/buckthornwall/node/instance_list.py
+++ b/packages/buckthornwall/src/buckthornwall/node/instance_list.py
@@ -79,7 +79,7 @@
             if each.kind is InstanceKind.ENTRY:
                 continue
             if each.leaving:
-                self.members.upstream_leaving(UpstreamId(each.id), now, first_hand=True)
+                self.members.mark_leaving(UpstreamId(each.id), now, first_hand=True)
             else:
-                self.members.upstream_listed_live(UpstreamId(each.id))
+                self.members.clear_leaving(UpstreamId(each.id))
         self.changed()
--- a/packages/buckthornwall/src/buckthornwall/node/newest.py
+++ b/packages/buckthornwall/src/buckthornwall/node/newest.py
@@ -88,7 +88,8 @@
         if self.store.view is None or self.records.is_stale:
             return False
         heard = [
-            member.last_heard is not None for member in self.members.members.values()
+            member.last_heartbeat_at is not None
+            for member in self.members.members.values()
         ]
         if self.clock.now() >= deadline:
             return any(heard) or not heard
--- a/packages/buckthornwall/src/buckthornwall/node/status.py
+++ b/packages/buckthornwall/src/buckthornwall/node/status.py
@@ -64,7 +64,7 @@
 
 
 def _member(member: Member, now: float) -> dict[str, Any]:
-    heard = member.last_heard
+    heard = member.last_heartbeat_at
     return {
         "node": member.node,
         "state": member.state.name.lower(),
--- a/packages/buckthornwall/src/buckthornwall/scheduling/agent.py
+++ b/packages/buckthornwall/src/buckthornwall/scheduling/agent.py
@@ -20,7 +20,7 @@
     SlotReport,
     Withdraw,
 )
-from buckthornwall.membership import FreezeDetector, LeaseClock, MemberTable
+from buckthornwall.membership import DelayEstimator, FreezeDetector, MemberTable
 from buckthornwall.records import RecordStore, SchedulingMode
 from buckthornwall.utils import Clock, Incarnation, ModelId, NodeId, RequestId, new_id
 
@@ -79,7 +79,7 @@
         self.freeze = freeze
         self.send = send
         self.incarnation = Incarnation(new_id())
-        self.leases = LeaseClock()
+        self.delays = DelayEstimator()
         self.roles: dict[tuple[ModelId, bool], _Role] = {}
         self.inbox_in, self.inbox = trio.open_memory_channel(INBOX_SIZE)
         freeze.listeners.append(self.forget_everything)
@@ -199,7 +199,7 @@
             return []
         if self.store.view is None or message.pool not in self.store.view.models:
             return []
-        sent_at = now - self._lateness(node, message, now)
+        sent_at = now - self._excess_delay_s(node, message, now)
         if now - sent_at > self.settings.support_s:
             return []  # held up for so long that the lease has ended
         role = self._role(message.pool, local=False)
@@ -209,12 +209,12 @@
         self._set_fraction(role, now)
         return [role]
 
-    def _lateness(self, node: NodeId, message: SlotReport, now: float) -> float:
+    def _excess_delay_s(self, node: NodeId, message: SlotReport, now: float) -> float:
         if node == self.node:
             return 0.0
         member = self.members.members.get(node)
         incarnation = member.incarnation if member else Incarnation(0)
-        return self.leases.lateness(node, incarnation, message.sent_at, now)
+        return self.delays.excess_delay_s(node, incarnation, message.sent_at, now)
 
     def _end_lease(self, node: NodeId, message: SlotReport) -> list[_Role]:
         role = self.roles.get((message.pool, False))
@@ -258,7 +258,7 @@
 
     def _set_fraction(self, role: _Role, now: float) -> None:
         """Set the part of the slots that this scheduler may use."""
-        expected = self.members.expected()
+        expected = self.members.share_count()
         if role.local:
             role.scheduler.fraction = 1 / expected
             return
--- a/packages/buckthornwall/src/buckthornwall/scheduling/tests/test_share_leases.py
+++ b/packages/buckthornwall/src/buckthornwall/scheduling/tests/test_share_leases.py
@@ -39,7 +39,7 @@
 
 
 def hear(members, clock, node, state=NodeState.READY):
-    members.heard(node, 1, state, "z", clock.now())
+    members.record_heartbeat(node, 1, state, "z", clock.now())
 
 
 def test_a_part_is_left_to_the_scheduler_and_the_lease_renewed(
