--- a/packages/buckthornwall/src/buckthornwall/admission/__init__.py
+++ b/packages/buckthornwall/src/buckthornwall/admission/__init__.py
@@ -1,5 +1,5 @@
 """Who the caller is, where the request goes, and which class applies."""
 
-from .core import Admission, Admitted, TeamGauge
+from .core import Admission, AdmittedRequest, TeamConcurrencyLimiter
 
-__all__ = ["Admission", "Admitted", "TeamGauge"]
+__all__ = ["Admission", "AdmittedRequest", "TeamConcurrencyLimiter"]
--- a/packages/buckthornwall/src/buckthornwall/admission/core.py
+++ b/packages/buckthornwall/src/buckthornwall/admission/core.py
@@ -17,13 +17,13 @@
 )
 from buckthornwall.utils import ClassId, RouteId, TeamId
 
-__all__ = ["Admission", "Admitted", "TeamGauge"]
+__all__ = ["Admission", "AdmittedRequest", "TeamConcurrencyLimiter"]
 
-BEARER = "bearer "
+BEARER_PREFIX = "bearer "
 
 
 @dataclass
-class Admitted:
+class AdmittedRequest:
     """A request that may go on: its team, route and class."""
 
     team: Team
@@ -31,7 +31,7 @@
     service_class: ServiceClass
 
 
-class TeamGauge:
+class TeamConcurrencyLimiter:
     """Counts each team's requests in flight on this instance."""
 
     def __init__(self) -> None:
@@ -85,16 +85,16 @@
             If no team's record holds the key's hash.
         """
         view = self.view
-        if authorization and authorization.lower().startswith(BEARER):
-            key = authorization[len(BEARER) :].strip()
+        if authorization and authorization.lower().startswith(BEARER_PREFIX):
+            key = authorization[len(BEARER_PREFIX) :].strip()
             team = view.team_by_key_hash.get(sha256(key.encode()).hexdigest())
             if team is not None:
                 return team
         raise Refusal(ResultCode.UNAUTHENTICATED)
 
     def admit(
-        self, team: Team, target: TargetKind, name: str, wanted: str | None
-    ) -> Admitted:
+        self, team: Team, target: TargetKind, name: str, requested_class: str | None
+    ) -> AdmittedRequest:
         """Find the route and the class of a request.
 
         Parameters
@@ -103,7 +103,7 @@
             The caller.
         target, name
             What kind of route is asked for, and its name.
-        wanted
+        requested_class
             The class that the caller asks for, if it names one.
 
         Raises
@@ -114,16 +114,18 @@
         route = self.view.routes.get(RouteId(name))
         if route is None or route.to is not target:
             raise Refusal(ResultCode.UNKNOWN_MODEL, name)
-        return Admitted(team, route, self._choose_class(team, route, wanted))
+        return AdmittedRequest(
+            team, route, self._choose_class(team, route, requested_class)
+        )
 
     def _choose_class(
-        self, team: Team, route: Route, wanted: str | None
+        self, team: Team, route: Route, requested_class: str | None
     ) -> ServiceClass:
         allowed = [
             each for each in team.classes if not route.classes or each in route.classes
         ]
-        if wanted is not None:
-            allowed = [each for each in allowed if each == ClassId(wanted)]
+        if requested_class is not None:
+            allowed = [each for each in allowed if each == ClassId(requested_class)]
         if not allowed:
-            raise Refusal(ResultCode.CLASS_NOT_ALLOWED, wanted or route.id)
+            raise Refusal(ResultCode.CLASS_NOT_ALLOWED, requested_class or route.id)
         return self.view.classes[allowed[0]]
--- a/packages/buckthornwall/src/buckthornwall/gateway/completions.py
+++ b/packages/buckthornwall/src/buckthornwall/gateway/completions.py
@@ -6,7 +6,7 @@
 
 import trio
 
-from buckthornwall.admission import Admission, TeamGauge
+from buckthornwall.admission import Admission, TeamConcurrencyLimiter
 from buckthornwall.codes import Refusal, ResultCode, UpstreamError
 from buckthornwall.links import ReleaseKind
 from buckthornwall.records import TargetKind, Upstream
@@ -54,7 +54,7 @@
     def __init__(
         self,
         admission: Admission,
-        teams: TeamGauge,
+        teams: TeamConcurrencyLimiter,
         entry: EntryAgent,
         engines: EngineClient,
         budget: RetryBudget,
@@ -85,8 +85,10 @@
             self.limits.body_limit_bytes, self.limits.body_timeout_s
         )
         body = check_body(exchange.path, raw)
-        wanted = exchange.headers.get(CLASS_HEADER)
-        admitted = self.admission.admit(team, TargetKind.MODEL, body["model"], wanted)
+        requested_class = exchange.headers.get(CLASS_HEADER)
+        admitted = self.admission.admit(
+            team, TargetKind.MODEL, body["model"], requested_class
+        )
         answer_type = StreamedAnswer if body.get("stream") else CollectedAnswer
         answer = answer_type(exchange, exchange.path == CHAT_PATH)
         job = CompletionJob(
--- a/packages/buckthornwall/src/buckthornwall/gateway/job.py
+++ b/packages/buckthornwall/src/buckthornwall/gateway/job.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from buckthornwall.admission import Admitted
+from buckthornwall.admission import AdmittedRequest
 from buckthornwall.codes import Refusal, ResultCode, Run
 
 from .answer import Answer
@@ -24,7 +24,7 @@
 
     path: str
     body: dict[str, Any]
-    admitted: Admitted
+    admitted: AdmittedRequest
     answer: Answer
     started: float
     traceparent: str | None
--- a/packages/buckthornwall/src/buckthornwall/gateway/services.py
+++ b/packages/buckthornwall/src/buckthornwall/gateway/services.py
@@ -2,7 +2,7 @@
 
 from urllib.parse import quote
 
-from buckthornwall.admission import Admission, Admitted, TeamGauge
+from buckthornwall.admission import Admission, AdmittedRequest, TeamConcurrencyLimiter
 from buckthornwall.codes import Refusal, ResultCode, Run, UpstreamError
 from buckthornwall.idempotency import CallRequest, IdempotencyAgent, StoredOutcome
 from buckthornwall.records import TargetKind, Upstream
@@ -56,7 +56,7 @@
     def __init__(
         self,
         admission: Admission,
-        teams: TeamGauge,
+        teams: TeamConcurrencyLimiter,
         agent: IdempotencyAgent,
         client: ServiceClient,
         budget: RetryBudget,
@@ -88,8 +88,8 @@
         """Serve a call to a plain service."""
         team = self.admission.authenticate(exchange.headers.get("authorization"))
         name, _, rest = exchange.path[len(PREFIX) :].partition("/")
-        wanted = exchange.headers.get(CLASS_HEADER)
-        admitted = self.admission.admit(team, TargetKind.SERVICE, name, wanted)
+        requested_class = exchange.headers.get(CLASS_HEADER)
+        admitted = self.admission.admit(team, TargetKind.SERVICE, name, requested_class)
         body = await exchange.read_body(
             self.limits.body_limit_bytes, self.limits.body_timeout_s
         )
@@ -109,7 +109,7 @@
         await exchange.write(outcome.body, more=False)
 
     def _request(
-        self, exchange: Exchange, admitted: Admitted, rest: str, body: bytes
+        self, exchange: Exchange, admitted: AdmittedRequest, rest: str, body: bytes
     ) -> CallRequest:
         path = "/" + quote(rest)
         if exchange.query:
--- a/packages/buckthornwall/src/buckthornwall/gateway/tests/test_completions.py
+++ b/packages/buckthornwall/src/buckthornwall/gateway/tests/test_completions.py
@@ -5,7 +5,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from buckthornwall.admission import Admission, Admitted
+from buckthornwall.admission import Admission, AdmittedRequest
 from buckthornwall.codes import Refusal, ResultCode, Run, UpstreamError
 from buckthornwall.gateway.answer import Answer
 from buckthornwall.gateway.completions import CompletionHandler
@@ -22,7 +22,9 @@
 @pytest.fixture
 def job(store):
     view = store.view
-    admitted = Admitted(view.teams["one"], view.routes["m"], view.classes["urgent"])
+    admitted = AdmittedRequest(
+        view.teams["one"], view.routes["m"], view.classes["urgent"]
+    )
     body = {"model": "m", "messages": [{"role": "user", "content": "x"}]}
     return CompletionJob(CHAT_PATH, body, admitted, Answer(None, True), 0.0, None, 0, 1)
 
--- a/packages/buckthornwall/src/buckthornwall/node/core.py
+++ b/packages/buckthornwall/src/buckthornwall/node/core.py
@@ -4,7 +4,7 @@
 
 import trio
 
-from buckthornwall.admission import Admission, TeamGauge
+from buckthornwall.admission import Admission, TeamConcurrencyLimiter
 from buckthornwall.gateway import (
     CallerApp,
     CompletionHandler,
@@ -184,7 +184,7 @@
     def _make_gateway(self) -> None:
         settings = self.settings
         admission = Admission(self.store)
-        teams = TeamGauge()
+        teams = TeamConcurrencyLimiter()
         completions = CompletionHandler(
             admission,
             teams,
