--- a/packages/buckthornwall-standins/src/buckthornwall_standins/pool_sim/engine.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/pool_sim/engine.py
@@ -1,7 +1,7 @@
 """Model engines in simulated time.
 
-An engine generates one token of each running stream in a step and reads one piece of
-the most urgent prompt beside it. Segments that it has read stay until others need the
+An engine generates one token of each running stream in a step and prefills one chunk of
+the most urgent prompt beside it. Prefilled segments stay cached until others need the
 room.
 """
 
@@ -23,7 +23,7 @@
 
     step_s: float = 0.004
     tokens_per_s: float = 60_000.0
-    piece: int = 2048
+    chunk_tokens: int = 2048
     context_s: float = 0.0004
     slots: int = 64
     memory_tokens: int = 500_000
@@ -35,7 +35,7 @@
         return EngineSpeed(
             self.step_s / speed,
             self.tokens_per_s * speed,
-            self.piece,
+            self.chunk_tokens,
             self.context_s / speed,
             self.slots,
             self.memory_tokens,
@@ -46,19 +46,19 @@
 
 @dataclass(eq=False)
 class SimEngine:
-    """One engine: what it holds, what runs and what waits to be read.
+    """One engine: its prefix cache, running requests and waiting ones.
 
     Attributes
     ----------
     cached : OrderedDict
-        Tokens of the segments that it has read, the least recently used first.
+        Tokens of the segments that it has cached, the least recently used first.
     running : list
-        Requests whose prompt was read.
+        Requests whose prompt was prefilled.
     waiting : list
         A heap of rank, number and request.
-    uncached_tokens, again_tokens : int
-        Prompt tokens read so far, and those of them of shared segments that some engine
-        had read before.
+    prefilled_tokens, again_tokens : int
+        Prompt tokens prefilled so far, and those of them of shared segments that some
+        engine had prefilled before.
     """
 
     id: UpstreamId
@@ -68,7 +68,7 @@
     cached: OrderedDict[str, int] = field(default_factory=OrderedDict)
     running: list[SimRequest] = field(default_factory=list)
     waiting: list[tuple[int, int, SimRequest]] = field(default_factory=list)
-    uncached_tokens: int = 0
+    prefilled_tokens: int = 0
 
     def submit(self, request: SimRequest, rank: int, number: int) -> bool:
         """Take a prompt; False if there is no room for one more."""
@@ -100,9 +100,9 @@
         """Work for one step; return how long it takes, in seconds."""
         self._drop_late(now)
         duration = self.speed.step_s
-        head = self._next_to_read()
+        head = self._next_to_prefill()
         if head is not None:
-            duration += self._read(head)
+            duration += self._prefill_chunk(head)
         end = now + duration
         for request in list(self.running):
             self._make_token(request, end)
@@ -112,7 +112,7 @@
             self.running.append(head)
         return duration
 
-    def _next_to_read(self) -> SimRequest | None:
+    def _next_to_prefill(self) -> SimRequest | None:
         if not self.waiting or len(self.running) >= self.speed.slots:
             return None
         return self.waiting[0][2]
@@ -129,7 +129,7 @@
         request.on_event(now, True)
 
     def _keep(self, request: SimRequest) -> None:
-        """Keep what was read, in the room that running requests leave."""
+        """Keep what was prefilled, in the room that running requests leave."""
         for segment in request.prompt.segments:
             self.cached[segment.id] = segment.tokens
             self.cached.move_to_end(segment.id)
@@ -147,15 +147,15 @@
             tokens += segment.tokens
         return tokens
 
-    def _read(self, request: SimRequest) -> float:
-        cached = self._cached_tokens(request)  # read for another one meanwhile, perhaps
+    def _prefill_chunk(self, request: SimRequest) -> float:
+        cached = self._cached_tokens(request)  # may have been prefilled for another one
         request.pending_prefill_tokens = min(
             request.pending_prefill_tokens, request.prompt.prompt_tokens - cached
         )
-        tokens = max(0, min(request.pending_prefill_tokens, self.speed.piece))
+        tokens = max(0, min(request.pending_prefill_tokens, self.speed.chunk_tokens))
         before = request.prompt.prompt_tokens - request.pending_prefill_tokens
         request.pending_prefill_tokens -= tokens
-        self.uncached_tokens += tokens
+        self.prefilled_tokens += tokens
         pairs_s = self.speed.context_s * tokens * before / 1e6
         return tokens / self.speed.tokens_per_s + pairs_s
 
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/pool_sim/report.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/pool_sim/report.py
@@ -60,5 +60,5 @@
         refused = sum(each.refused for each in own) / len(own)
         failed = sum(each.failed for each in own) / len(own)
         pairs.append(f"{name}={credit:.3f} refused={refused:.2f} failed={failed:.2f}")
-    read = sum(engine.uncached_tokens for engine in simulation.engines.values())
+    read = sum(engine.prefilled_tokens for engine in simulation.engines.values())
     return [*pairs, f"read_m={read / 1e6:.1f}"]
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/users_platform/engine.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/users_platform/engine.py
@@ -1,4 +1,4 @@
-"""A model engine in real time: it reads prompts by pieces, urgent ones first."""
+"""A model engine in real time: it prefills prompts in chunks, urgent ones first."""
 
 import heapq
 import itertools
@@ -15,17 +15,17 @@
 __all__ = ["Engine"]
 
 LIMITS = ServerLimits(65_536, 8 * 2**20, 10.0, 5.0)
-PIECE_TOKENS = 2048
+CHUNK_TOKENS = 2048
 NO_PRIORITY = b"5"
 
 
 @dataclass(eq=False)
 class _Prompt:
-    """One request there: the segments that it has still to read."""
+    """One request there: the segments that are not prefilled yet."""
 
     pending_prefill_tokens: int
     segments: dict[bytes, int]
-    read: trio.Event = field(default_factory=trio.Event)
+    is_prefilled: trio.Event = field(default_factory=trio.Event)
     is_left: bool = False
 
 
@@ -36,11 +36,11 @@
     Attributes
     ----------
     tokens_per_s : float
-        Prompt tokens that it reads in a second.
+        Prompt tokens prefilled per second.
     event_s : float
         Seconds between the events of a stream.
     cached : set
-        Segments that it has read.
+        Segments in its prefix cache.
     """
 
     id: str
@@ -57,10 +57,10 @@
         """Serve until cancelled."""
         server = HttpServer(TrioClock(), lambda: LIMITS, self._handle)
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._read)
+            nursery.start_soon(self._prefill)
             await server.run(address, task_status=task_status)
 
-    async def _read(self) -> None:
+    async def _prefill(self) -> None:
         while True:
             while self._waiting and self._waiting[0][2].is_left:
                 heapq.heappop(self._waiting)
@@ -69,20 +69,20 @@
                 await self._come.wait()
                 continue
             prompt = self._waiting[0][2]
-            piece = min(prompt.pending_prefill_tokens, PIECE_TOKENS)
-            await trio.sleep(piece / self.tokens_per_s)
-            prompt.pending_prefill_tokens -= piece
+            chunk_tokens = min(prompt.pending_prefill_tokens, CHUNK_TOKENS)
+            await trio.sleep(chunk_tokens / self.tokens_per_s)
+            prompt.pending_prefill_tokens -= chunk_tokens
             if not prompt.pending_prefill_tokens:
                 self._waiting = [e for e in self._waiting if e[2] is not prompt]
                 heapq.heapify(self._waiting)
                 self.cached.update(prompt.segments)
-                prompt.read.set()
+                prompt.is_prefilled.set()
 
     async def _handle(self, incoming: IncomingRequest, answer: Answer) -> None:
         found = dict(incoming.headers)
         rank = int(found.get(b"x-buckthornwall-request-priority", NO_PRIORITY))
         async with self._wait(rank, _segments(found)) as prompt:
-            await prompt.read.wait()
+            await prompt.is_prefilled.wait()
         self.running += 1
         try:
             await self._stream(found, answer)
