--- a/packages/buckthornwall-standins/src/buckthornwall_standins/faults/steps.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/faults/steps.py
@@ -53,7 +53,7 @@
 
     return {
         Step.RECEIVED: lambda: node.app.in_flight > 0,
-        Step.QUEUED: lambda: any(w.acknowledged for w in node.entry.waiting.values()),
+        Step.QUEUED: lambda: any(w.acknowledged for w in node.entry.pending.values()),
         Step.GRANTED: lambda: bool(node.entry.held),
         Step.OPENED: lambda: any(nonce in engine.first_index for engine in engines),
         Step.FIRST_TOKEN: lambda: generated() >= 1,
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/tests/test_races.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/tests/test_races.py
@@ -57,7 +57,7 @@
             await fill_engines(run, nursery)
             waiting = run.new_outcome(run.entry, "low", 4)
             nursery.start_soon(run.send, run.entry, waiting)
-            await fleet.until(lambda: run.entry.node.entry.waiting)
+            await fleet.until(lambda: run.entry.node.entry.pending)
             await trio.sleep(0.1)
             records = without(fleet.records(2), "class", "low")
             for record in records["records"]:
--- a/packages/buckthornwall/src/buckthornwall/links/__init__.py
+++ b/packages/buckthornwall/src/buckthornwall/links/__init__.py
@@ -3,11 +3,11 @@
 from .codec import decode_batch, encode_batch
 from .core import LinkHub, LinkSettings
 from .messages import (
-    Accepted,
     CallForward,
     CallOutcome,
     Challenge,
     Enqueue,
+    EnqueueAccepted,
     EnqueueRefused,
     Grant,
     HandOver,
@@ -31,7 +31,7 @@
 )
 
 __all__ = [
-    "Accepted",
+    "EnqueueAccepted",
     "CallForward",
     "CallOutcome",
     "Challenge",
--- a/packages/buckthornwall/src/buckthornwall/links/messages.py
+++ b/packages/buckthornwall/src/buckthornwall/links/messages.py
@@ -21,7 +21,7 @@
 )
 
 __all__ = [
-    "Accepted",
+    "EnqueueAccepted",
     "CallForward",
     "CallOutcome",
     "Challenge",
@@ -135,7 +135,7 @@
     preemptible: bool = False
 
 
-class Accepted(Struct, array_like=True, tag=7):
+class EnqueueAccepted(Struct, array_like=True, tag=7):
     """The scheduler holds the request in its queue."""
 
     request: RequestId
@@ -153,7 +153,7 @@
     """A slot on an engine, valid for a short time.
 
     `age_s` is the time from the scheduler's receipt of the request to the
-    grant, and `asked_at` the entry's own time of sending it, so that the entry
+    grant, and `request_sent_at` the entry's own time of sending it, so that the entry
     can tell a late grant without comparing clocks.
     """
 
@@ -161,7 +161,7 @@
     grant: GrantId
     engine: UpstreamId
     scheduler: Incarnation
-    asked_at: float
+    request_sent_at: float
     age_s: float
     valid_s: float
     local: bool = False
@@ -302,7 +302,7 @@
     | RecordsRequest
     | RecordsReply
     | Enqueue
-    | Accepted
+    | EnqueueAccepted
     | EnqueueRefused
     | Grant
     | Release
--- a/packages/buckthornwall/src/buckthornwall/links/tests/test_links.py
+++ b/packages/buckthornwall/src/buckthornwall/links/tests/test_links.py
@@ -9,7 +9,7 @@
 
 from buckthornwall.codes import PeerError
 from buckthornwall.links import (
-    Accepted,
+    EnqueueAccepted,
     Heartbeat,
     KeyEntry,
     LinkHub,
@@ -27,7 +27,7 @@
 
 
 def test_messages_survive_the_codec():
-    batch = [HEARTBEAT, Accepted(5), Withdraw(6, local=True)]
+    batch = [HEARTBEAT, EnqueueAccepted(5), Withdraw(6, local=True)]
     assert decode_batch(encode_batch(batch)) == batch
 
 
--- a/packages/buckthornwall/src/buckthornwall/node/core.py
+++ b/packages/buckthornwall/src/buckthornwall/node/core.py
@@ -13,10 +13,10 @@
 )
 from buckthornwall.idempotency import IdempotencyAgent, KeyMint
 from buckthornwall.links import (
-    Accepted,
     CallForward,
     CallOutcome,
     Enqueue,
+    EnqueueAccepted,
     EnqueueRefused,
     Grant,
     HandOver,
@@ -69,7 +69,7 @@
 FLUSH_S = 0.2
 
 TO_SCHEDULER = (Enqueue, Release, Withdraw, SlotReport)
-TO_ENTRY = (Accepted, EnqueueRefused, Grant, Preempt, ShareLeaseEnded)
+TO_ENTRY = (EnqueueAccepted, EnqueueRefused, Grant, Preempt, ShareLeaseEnded)
 TO_RECORDS = (RecordsRequest, RecordsReply)
 TO_IDEMPOTENCY = (CallForward, CallOutcome, HandOver, HandOverTaken, OwnerMoved)
 
--- a/packages/buckthornwall/src/buckthornwall/node/status.py
+++ b/packages/buckthornwall/src/buckthornwall/node/status.py
@@ -46,9 +46,9 @@
         },
         "entry": {
             "held": len(node.entry.held),
-            "waiting": len(node.entry.waiting),
+            "waiting": len(node.entry.pending),
             "decided_alone": node.entry.decided_locally,
-            "late_grants": node.entry.grants_dropped_late,
+            "late_grants": node.entry.late_grants,
         },
     }
 
--- a/packages/buckthornwall/src/buckthornwall/scheduling/agent.py
+++ b/packages/buckthornwall/src/buckthornwall/scheduling/agent.py
@@ -8,8 +8,8 @@
 
 from buckthornwall.codes import ResultCode
 from buckthornwall.links import (
-    Accepted,
     Enqueue,
+    EnqueueAccepted,
     EnqueueRefused,
     Grant,
     Message,
@@ -134,7 +134,7 @@
                 self._announce(decision, role)
             for node, request in role.unacknowledged:
                 if request in role.scheduler.queue:
-                    self.send(node, Accepted(request))
+                    self.send(node, EnqueueAccepted(request))
             role.unacknowledged.clear()
 
     def handle(self, node: NodeId, message: Message) -> list[_Role]:
@@ -279,7 +279,7 @@
                 decision.grant,
                 decision.engine,
                 self.incarnation,
-                ticket.asked_at,
+                ticket.request_sent_at,
                 self.clock.now() - ticket.received,
                 self.settings.grant_valid_s,
                 role.local,
--- a/packages/buckthornwall/src/buckthornwall/scheduling/core.py
+++ b/packages/buckthornwall/src/buckthornwall/scheduling/core.py
@@ -134,7 +134,7 @@
             prefix=message.prefix,
             received=now,
             deadline=now + message.start_within_s,
-            asked_at=message.sent_at,
+            request_sent_at=message.sent_at,
             waited_s=message.waited_s,
             excluded=frozenset(message.excluded),
             resumed=message.resumed,
--- a/packages/buckthornwall/src/buckthornwall/scheduling/entry.py
+++ b/packages/buckthornwall/src/buckthornwall/scheduling/entry.py
@@ -7,8 +7,8 @@
 
 from buckthornwall.codes import Refusal, ResultCode
 from buckthornwall.links import (
-    Accepted,
     Enqueue,
+    EnqueueAccepted,
     EnqueueRefused,
     Grant,
     Message,
@@ -38,7 +38,7 @@
 
 __all__ = ["EntryAgent", "SlotRequest"]
 
-CODES = {code.number: code for code in ResultCode}
+CODES_BY_NUMBER = {code.number: code for code in ResultCode}
 Send = Callable[[NodeId, Message], bool]
 
 
@@ -46,7 +46,7 @@
 class SlotRequest:
     """What an entry asks a slot for.
 
-    `started` is when the caller's request came, on the entry's clock;
+    `arrived_at` is when the caller's request came, on the entry's clock;
     `excluded` are the engines that failed it before.
     """
 
@@ -55,7 +55,7 @@
     team: TeamId
     prompt_tokens: int
     prefix: int
-    started: float
+    arrived_at: float
     excluded: list[UpstreamId] = field(default_factory=list)
     resumed: bool = False
     preemptible: bool = False
@@ -68,8 +68,8 @@
         """
         targets = self.service_class.targets
         if self.service_class.urgent or self.resumed:
-            return self.started + targets.total_s
-        return self.started + targets.first_token_s
+            return self.arrived_at + targets.total_s
+        return self.arrived_at + targets.first_token_s
 
 
 @dataclass
@@ -87,24 +87,24 @@
 
 
 @dataclass
-class _Waiting:
+class _PendingRequest:
     """One request on its way to a slot."""
 
     slot_request: SlotRequest
-    asked: set[tuple[NodeId, bool]] = field(default_factory=set)
+    schedulers_asked: set[tuple[NodeId, bool]] = field(default_factory=set)
     acknowledged: bool = False
-    ask_again: bool = False
+    resend: bool = False
     slot: HeldSlot | None = None
     refusal: Refusal | None = None
-    news: trio.Event = field(default_factory=trio.Event)
+    changed: trio.Event = field(default_factory=trio.Event)
 
     @property
-    def settled(self) -> bool:
-        return self.ask_again or self.slot is not None or self.refusal is not None
+    def decided(self) -> bool:
+        return self.resend or self.slot is not None or self.refusal is not None
 
     def notify(self) -> None:
-        self.news.set()
-        self.news = trio.Event()
+        self.changed.set()
+        self.changed = trio.Event()
 
 
 class EntryAgent:
@@ -137,7 +137,7 @@
         self.members = members
         self.freeze = freeze
         self.send = send
-        self.waiting: dict[RequestId, _Waiting] = {}
+        self.pending: dict[RequestId, _PendingRequest] = {}
         self.held: dict[GrantId, HeldSlot] = {}
         self.share_leases = ShareLeaseManager(
             node,
@@ -147,9 +147,9 @@
             send,
             self.pools,
             self.slot_report,
-            self._ask_again,
+            self._resend_requests,
         )
-        self.grants_dropped_late = 0
+        self.late_grants = 0
         self.decided_locally = 0
 
     # The request's own task
@@ -167,63 +167,65 @@
             When it is given up, at once and with a time to come back.
         """
         request = RequestId(new_id())
-        waiting = self.waiting[request] = _Waiting(slot_request)
+        pending = self.pending[request] = _PendingRequest(slot_request)
         try:
-            while waiting.slot is None and waiting.refusal is None:
-                await self._ask_once(request, waiting)
-            if waiting.refusal is not None:
-                raise waiting.refusal
-            self._check_still_due(slot_request)
-            return waiting.slot
+            while pending.slot is None and pending.refusal is None:
+                await self._request_once(request, pending)
+            if pending.refusal is not None:
+                raise pending.refusal
+            self._check_start_deadline(slot_request)
+            return pending.slot
         except BaseException:
             # The caller went, or we slept, just as the slot came.
-            if waiting.slot is not None:
-                self.release(waiting.slot, ReleaseKind.UNUSED)
+            if pending.slot is not None:
+                self.release(pending.slot, ReleaseKind.UNUSED)
             raise
         finally:
-            del self.waiting[request]
-            self._withdraw_elsewhere(request, waiting)
+            del self.pending[request]
+            self._withdraw_elsewhere(request, pending)
 
-    async def _ask_once(self, request: RequestId, waiting: _Waiting) -> None:
+    async def _request_once(self, request: RequestId, pending: _PendingRequest) -> None:
         now = self.clock.now()
-        left_s = waiting.slot_request.start_deadline() - now
-        if left_s <= 0:
+        remaining_s = pending.slot_request.start_deadline() - now
+        if remaining_s <= 0:
             code = (
                 ResultCode.START_DEADLINE
-                if waiting.acknowledged
+                if pending.acknowledged
                 else ResultCode.NO_SCHEDULER
             )
-            waiting.refusal = Refusal(code, retry_after_s=1.0)
+            pending.refusal = Refusal(code, retry_after_s=1.0)
             return
-        target, local = self._whom_to_ask(waiting)
-        urgent = waiting.slot_request.service_class.urgent
-        pause_s = self.settings.urgent_ack_s if urgent else self.settings.repeat_s
-        waiting.acknowledged = local
-        waiting.ask_again = False
-        self._send_enqueue(request, waiting, target, local, left_s)
-        with trio.move_on_after(min(pause_s, left_s)):
-            while not waiting.settled:
-                await waiting.news.wait()
-        if urgent and not waiting.settled and not waiting.acknowledged:
-            self._decide_locally(request, waiting)
-
-    def _whom_to_ask(self, waiting: _Waiting) -> tuple[NodeId, bool]:
+        target, local = self._choose_scheduler(pending)
+        urgent = pending.slot_request.service_class.urgent
+        retry_interval_s = (
+            self.settings.urgent_ack_s if urgent else self.settings.repeat_s
+        )
+        pending.acknowledged = local
+        pending.resend = False
+        self._send_enqueue(request, pending, target, local, remaining_s)
+        with trio.move_on_after(min(retry_interval_s, remaining_s)):
+            while not pending.decided:
+                await pending.changed.wait()
+        if urgent and not pending.decided and not pending.acknowledged:
+            self._decide_locally(request, pending)
+
+    def _choose_scheduler(self, pending: _PendingRequest) -> tuple[NodeId, bool]:
         """Return the scheduler that has our part, or this instance."""
-        pool = waiting.slot_request.pool
+        pool = pending.slot_request.pool
         holder = self.share_leases.holder(pool)
         return (self.node, True) if holder is None else (holder, False)
 
     def _send_enqueue(
         self,
         request: RequestId,
-        waiting: _Waiting,
+        pending: _PendingRequest,
         target: NodeId,
         local: bool,
-        left_s: float,
+        remaining_s: float,
     ) -> None:
-        slot_request = waiting.slot_request
+        slot_request = pending.slot_request
         now = self.clock.now()
-        waiting.asked.add((target, local))
+        pending.schedulers_asked.add((target, local))
         message = Enqueue(
             request,
             slot_request.pool,
@@ -231,9 +233,9 @@
             slot_request.team,
             slot_request.prompt_tokens,
             slot_request.prefix,
-            left_s,
+            remaining_s,
             now,
-            now - slot_request.started,
+            now - slot_request.arrived_at,
             slot_request.excluded,
             slot_request.resumed,
             local,
@@ -241,24 +243,24 @@
         )
         self.send(target, message)
 
-    def _decide_locally(self, request: RequestId, waiting: _Waiting) -> None:
-        if (self.node, True) in waiting.asked:
+    def _decide_locally(self, request: RequestId, pending: _PendingRequest) -> None:
+        if (self.node, True) in pending.schedulers_asked:
             return
-        left_s = waiting.slot_request.start_deadline() - self.clock.now()
-        if left_s > 0:
+        remaining_s = pending.slot_request.start_deadline() - self.clock.now()
+        if remaining_s > 0:
             self.decided_locally += 1
-            self._send_enqueue(request, waiting, self.node, True, left_s)
+            self._send_enqueue(request, pending, self.node, True, remaining_s)
 
-    def _withdraw_elsewhere(self, request: RequestId, waiting: _Waiting) -> None:
-        slot = waiting.slot
-        for node, local in waiting.asked:
+    def _withdraw_elsewhere(self, request: RequestId, pending: _PendingRequest) -> None:
+        slot = pending.slot
+        for node, local in pending.schedulers_asked:
             if slot and (slot.scheduler_node, slot.local) == (node, local):
                 continue
-            if waiting.refusal is not None and len(waiting.asked) == 1:
+            if pending.refusal is not None and len(pending.schedulers_asked) == 1:
                 continue
             self.send(node, Withdraw(request, local))
 
-    def _check_still_due(self, slot_request: SlotRequest) -> None:
+    def _check_start_deadline(self, slot_request: SlotRequest) -> None:
         """Refuse a request that a freeze has made too late to start.
 
         Raises
@@ -290,14 +292,14 @@
     def handle(self, node: NodeId, message: Message) -> None:
         """Take one message from a scheduler."""
         if isinstance(message, Grant):
-            self._take_grant(node, message)
+            self._receive_grant(node, message)
         elif isinstance(message, EnqueueRefused):
-            self._take_refusal(node, message)
-        elif isinstance(message, Accepted):
-            waiting = self.waiting.get(message.request)
-            if waiting is not None:
-                waiting.acknowledged = True
-                waiting.notify()
+            self._receive_refusal(node, message)
+        elif isinstance(message, EnqueueAccepted):
+            pending = self.pending.get(message.request)
+            if pending is not None:
+                pending.acknowledged = True
+                pending.notify()
         elif isinstance(message, Preempt):
             slot = self.held.get(message.grant)
             if slot is not None:
@@ -305,39 +307,39 @@
         elif isinstance(message, ShareLeaseEnded):
             self.share_leases.receive_lease_ended(node, message.pool, message.lease)
 
-    def _take_refusal(self, node: NodeId, message: EnqueueRefused) -> None:
-        waiting = self.waiting.get(message.request)
-        if waiting is None or waiting.slot is not None:
+    def _receive_refusal(self, node: NodeId, message: EnqueueRefused) -> None:
+        pending = self.pending.get(message.request)
+        if pending is None or pending.slot is not None:
             return
-        code = CODES.get(message.code, ResultCode.START_DEADLINE)
-        waiting.refusal = Refusal(code, retry_after_s=message.retry_after_s)
-        waiting.notify()
+        code = CODES_BY_NUMBER.get(message.code, ResultCode.START_DEADLINE)
+        pending.refusal = Refusal(code, retry_after_s=message.retry_after_s)
+        pending.notify()
 
-    def _take_grant(self, node: NodeId, message: Grant) -> None:
+    def _receive_grant(self, node: NodeId, message: Grant) -> None:
         """Take up a grant, unless it is late or no longer wanted."""
         self.freeze.check()
         if message.grant in self.held:
             return  # the same grant, sent again
-        waiting = self.waiting.get(message.request)
-        if waiting is None or waiting.slot is not None:
+        pending = self.pending.get(message.request)
+        if pending is None or pending.slot is not None:
             self.send(node, Release(message.grant, ReleaseKind.UNUSED))
             return
         now = self.clock.now()
-        if now > message.asked_at + message.age_s + message.valid_s:
-            self.grants_dropped_late += 1
+        if now > message.request_sent_at + message.age_s + message.valid_s:
+            self.late_grants += 1
             self.send(node, Release(message.grant, ReleaseKind.UNUSED))
             return
         slot = HeldSlot(
             message.grant,
             message.engine,
-            waiting.slot_request,
+            pending.slot_request,
             node,
             message.local,
             now,
         )
         self.held[slot.grant] = slot
-        waiting.slot = slot
-        waiting.notify()
+        pending.slot = slot
+        pending.notify()
 
     def pools(self) -> list[Model]:
         """Return the pools of the records in force."""
@@ -363,8 +365,8 @@
             ],
         )
 
-    def _ask_again(self, pool: ModelId) -> None:
-        for waiting in self.waiting.values():
-            if waiting.slot_request.pool == pool:
-                waiting.ask_again = True
-                waiting.notify()
+    def _resend_requests(self, pool: ModelId) -> None:
+        for pending in self.pending.values():
+            if pending.slot_request.pool == pool:
+                pending.resend = True
+                pending.notify()
--- a/packages/buckthornwall/src/buckthornwall/scheduling/queue.py
+++ b/packages/buckthornwall/src/buckthornwall/scheduling/queue.py
@@ -29,7 +29,7 @@
 class Ticket:
     """What a scheduler knows of one waiting request.
 
-    Times are on its own clock, but for `asked_at`, which is the entry's.
+    Times are on its own clock, but for `request_sent_at`, which is the entry's.
     """
 
     request: RequestId
@@ -40,7 +40,7 @@
     prefix: int
     received: float
     deadline: float
-    asked_at: float = 0.0
+    request_sent_at: float = 0.0
     waited_s: float = 0.0
     excluded: frozenset[UpstreamId] = frozenset()
     resumed: bool = False
--- a/packages/buckthornwall/src/buckthornwall/scheduling/tests/test_entry.py
+++ b/packages/buckthornwall/src/buckthornwall/scheduling/tests/test_entry.py
@@ -5,8 +5,8 @@
 
 from buckthornwall.codes import Refusal, ResultCode
 from buckthornwall.links import (
-    Accepted,
     Enqueue,
+    EnqueueAccepted,
     EnqueueRefused,
     Grant,
     Release,
@@ -51,7 +51,7 @@
     return agent
 
 
-def wanted(entry, class_id="urgent"):
+def slot_request(entry, class_id="urgent"):
     record = entry.store.view.classes[class_id]
     return SlotRequest("m", record, "one", 10, 0, entry.clock.now())
 
@@ -74,7 +74,7 @@
 async def test_a_grant_is_taken_up_and_given_back(entry, sent, autojump_clock):
     async with trio.open_nursery() as nursery:
         nursery.start_soon(answer, entry, sent, grant_for)
-        slot = await entry.acquire(wanted(entry))
+        slot = await entry.acquire(slot_request(entry))
     assert slot.engine == "e1"
     assert entry.slot_report("m").running[0].grant == 77
     slot.tokens = 5
@@ -90,7 +90,7 @@
     async with trio.open_nursery() as nursery:
         nursery.start_soon(answer, entry, sent, refuse)
         with pytest.raises(Refusal) as caught:
-            await entry.acquire(wanted(entry, "routine"))
+            await entry.acquire(slot_request(entry, "routine"))
     assert caught.value.code is ResultCode.OVERLOADED
     assert caught.value.retry_after_s == 4.0
     assert trio.current_time() < 0.1
@@ -103,7 +103,7 @@
         while not of_kind(sent, Enqueue):
             await trio.sleep(0.001)
         first = of_kind(sent, Enqueue)[0]
-        entry.handle(SCHEDULER, Accepted(first.request))
+        entry.handle(SCHEDULER, EnqueueAccepted(first.request))
         await trio.sleep(1.5)
         entry.handle(SCHEDULER, grant_for(first))
         assert of_kind(sent, Release)[-1].kind is ReleaseKind.UNUSED
@@ -112,9 +112,9 @@
 
     async with trio.open_nursery() as nursery:
         nursery.start_soon(late_then_good)
-        slot = await entry.acquire(wanted(entry, "routine"))
+        slot = await entry.acquire(slot_request(entry, "routine"))
     assert slot.grant == 77
-    assert entry.grants_dropped_late == 1
+    assert entry.late_grants == 1
 
 
 async def test_urgent_work_is_decided_here_when_the_scheduler_is_silent(
@@ -127,7 +127,7 @@
 
     async with trio.open_nursery() as nursery:
         nursery.start_soon(decide)
-        slot = await entry.acquire(wanted(entry))
+        slot = await entry.acquire(slot_request(entry))
     assert slot.local
     assert trio.current_time() < 0.2
     assert (SCHEDULER, Withdraw(of_kind(sent, Enqueue)[0].request)) in sent
@@ -137,7 +137,7 @@
     entry, sent, autojump_clock
 ):
     with pytest.raises(Refusal) as caught:
-        await entry.acquire(wanted(entry, "routine"))
+        await entry.acquire(slot_request(entry, "routine"))
     assert caught.value.code is ResultCode.NO_SCHEDULER
     assert trio.current_time() == pytest.approx(2.0, abs=0.01)
     assert not any(message.local for message in of_kind(sent, Enqueue))
@@ -155,13 +155,13 @@
                 entry.handle(SCHEDULER, grant_for(of_kind(sent, Enqueue)[0]))
 
             nursery.start_soon(grant_and_go)
-            await entry.acquire(wanted(entry))
+            await entry.acquire(slot_request(entry))
     assert not entry.held
     assert of_kind(sent, Release)[-1].kind is ReleaseKind.UNUSED
 
 
 async def test_a_caller_that_goes_withdraws_its_request(entry, sent, autojump_clock):
     with trio.move_on_after(0.05):
-        await entry.acquire(wanted(entry))
+        await entry.acquire(slot_request(entry))
     assert of_kind(sent, Withdraw)
-    assert not entry.waiting
+    assert not entry.pending
