--- a/packages/buckthornwall/src/buckthornwall/peers/agent.py
+++ b/packages/buckthornwall/src/buckthornwall/peers/agent.py
@@ -258,9 +258,9 @@
 
     async def _run_reports(self) -> None:
         while True:
-            gone = self.table.expire(self.clock.now())
+            lost = self.table.expire(self.clock.now())
             if self._was_speaker:  # members that report to another speaker are not lost
-                for address in gone:
+                for address in lost:
                     log_event("peer_lost", "WARNING", peer=address)
             await self.send_reports()
             interval_ms = (
--- a/packages/buckthornwall/src/buckthornwall/peers/prefix_relay.py
+++ b/packages/buckthornwall/src/buckthornwall/peers/prefix_relay.py
@@ -28,7 +28,7 @@
     def set_interval(self, seconds: float) -> None:
         """Set the interval between two reports that hold prefixes.
 
-        A prefix that is relayed for a shorter time may be in none of them.
+        A prefix that is relayed for a shorter time would be in none of them.
         """
         repeat_s = max(MIN_RELAY_S, RELAY_INTERVALS * seconds)
         self.local_zone.repeat_s = self.remote_zones.repeat_s = repeat_s
--- a/packages/buckthornwall/src/buckthornwall/peers/table.py
+++ b/packages/buckthornwall/src/buckthornwall/peers/table.py
@@ -106,8 +106,8 @@
         A relayed digest has the age that it states. A pointer to a speaker of this zone
         does not come from it; the agent queries the instance that it names.
         """
-        at = now - digest.age_ms / MS_PER_S
-        is_stale = now - at > self.silence_s
+        sent_at = now - digest.age_ms / MS_PER_S
+        is_stale = now - sent_at > self.silence_s
         if digest.address == self.address or is_stale:
             return
         if self.departures.is_leaving(digest.address, now):
@@ -116,10 +116,10 @@
             if not digest.is_fleet and self._supersedes(
                 digest, self.zones.get(digest.zone), now
             ):
-                self.zones[digest.zone] = ReceivedMessage.from_digest(digest, at)
+                self.zones[digest.zone] = ReceivedMessage.from_digest(digest, sent_at)
                 self.prefixes.remote_zones.receive(digest.cached_prefixes, now)
         elif not digest.is_pointer and self._supersedes(digest, self.speaker, now):
-            self.speaker = ReceivedMessage.from_digest(digest, at)
+            self.speaker = ReceivedMessage.from_digest(digest, sent_at)
 
     def receive_heartbeat(
         self, heartbeat: Heartbeat, now: float
@@ -171,18 +171,18 @@
 
     def expire(self, now: float) -> list[str]:
         """Drop peers that have been silent; return the members among them."""
-        gone = [
+        lost = [
             address
             for address, received in self.members.items()
             if now - received.last_seen_at > self.silence_s
         ]
-        for address in gone:
+        for address in lost:
             del self.members[address]
         for zone, received in list(self.zones.items()):
             if now - received.last_seen_at > self.silence_s:
                 del self.zones[zone]
         self.departures.expire(now)
-        return gone
+        return lost
 
     # Election and reports
 
