--- a/packages/buckthornwall-standins/src/buckthornwall_standins/tests/test_crash_reports.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/tests/test_crash_reports.py
@@ -2,7 +2,7 @@
 
 import pytest
 import trio
-from buckthornwall.quarantine import Fingerprint, generation_tag
+from buckthornwall.quarantine import Fingerprint, incarnation_tag
 from buckthornwall.routing import PoolId
 
 from buckthornwall_standins.peers_sim import PeersSimulation
@@ -17,7 +17,7 @@
 
 
 def end_at(peer, upstream, request=REQUEST):
-    tag = generation_tag(PoolId("p"), upstream, "")
+    tag = incarnation_tag(PoolId("p"), upstream, "")
     peer.quarantine.record_termination(request, tag, trio.current_time())
 
 
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/tests/test_router.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/tests/test_router.py
@@ -6,7 +6,7 @@
 import pytest
 import trio
 from buckthornwall.http1 import ClientConnection, ExchangeError
-from buckthornwall.quarantine import fingerprint_of, generation_tag
+from buckthornwall.quarantine import fingerprint_of, incarnation_tag
 from buckthornwall.router import Router
 from buckthornwall.routing import PoolId, RoutedRequest
 from buckthornwall.utils import TeamId
@@ -388,7 +388,7 @@
     request = RoutedRequest("", b"POST", b"/once/x", HOST, "", [], b"hi", 0.0)
     for upstream in ("a", "b", "c"):
         router = site.routers[1]
-        tag = generation_tag(PoolId(DRAFTS), upstream, "")
+        tag = incarnation_tag(PoolId(DRAFTS), upstream, "")
         fingerprint = fingerprint_of(request, TeamId("one"))
         router.quarantine.record_termination(fingerprint, tag, router.clock.now())
     await trio.sleep(1.0)
--- a/packages/buckthornwall/src/buckthornwall/forwarding/crash_guard.py
+++ b/packages/buckthornwall/src/buckthornwall/forwarding/crash_guard.py
@@ -2,7 +2,7 @@
 
 from buckthornwall.codes import Refusal, ResultCode
 from buckthornwall.pools import Choice, PoolTable, UpstreamState
-from buckthornwall.quarantine import QuarantineTable, generation_tag
+from buckthornwall.quarantine import QuarantineTable, incarnation_tag
 from buckthornwall.utils import Clock
 
 from .attempt import AttemptEnd, AttemptResult
@@ -64,6 +64,6 @@
         if not result.is_connection_lost or not await self.liveness.has_ended(entry):
             return False
         if is_listed and entry.state is UpstreamState.READY:  # else a planned departure
-            tag = generation_tag(entry.pool, entry.id, entry.generation)
+            tag = incarnation_tag(entry.pool, entry.id, entry.incarnation)
             self.quarantine.record_termination(job.fingerprint, tag, self.clock.now())
         return True
--- a/packages/buckthornwall/src/buckthornwall/platform/store.py
+++ b/packages/buckthornwall/src/buckthornwall/platform/store.py
@@ -238,5 +238,5 @@
         state=UpstreamState.READY if is_ready else UpstreamState.LEAVING,
         cold_s=registration.cold_remaining_ms / MS_PER_S,
         loaded=registration.models is None or bool(registration.models),
-        generation=str(registration.born),
+        incarnation=str(registration.born),
     )
--- a/packages/buckthornwall/src/buckthornwall/platform/tests/test_registrations.py
+++ b/packages/buckthornwall/src/buckthornwall/platform/tests/test_registrations.py
@@ -79,11 +79,11 @@
     assert update.removed == {"u1"}
 
 
-def test_upstream_restarted_under_its_id_has_another_generation():
+def test_upstream_restarted_under_its_id_has_another_incarnation():
     first = to_store_update(changes(written(born=17)), is_snapshot=True).entries["u0"]
     again = to_store_update(changes(written(born=18)), is_snapshot=True).entries["u0"]
-    assert first.generation != again.generation
+    assert first.incarnation != again.incarnation
     assert (
-        to_store_update(changes(written()), is_snapshot=True).entries["u0"].generation
+        to_store_update(changes(written()), is_snapshot=True).entries["u0"].incarnation
         == ""
     )
--- a/packages/buckthornwall/src/buckthornwall/pools/entry.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/entry.py
@@ -20,7 +20,7 @@
 class UpstreamEntry:
     """One registration of an upstream.
 
-    `cold_s` is how much longer its cold start lasts, in seconds. `generation` changes
+    `cold_s` is how much longer its cold start lasts, in seconds. `incarnation` changes
     when the upstream restarts under the same id; it is empty if unknown.
     """
 
@@ -32,4 +32,4 @@
     state: UpstreamState
     cold_s: float = 0.0
     loaded: bool = True
-    generation: str = ""
+    incarnation: str = ""
--- a/packages/buckthornwall/src/buckthornwall/pools/table.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/table.py
@@ -89,8 +89,8 @@
                 "upstream_restarted",
                 "WARNING",
                 upstream=entry.id,
-                start=entry.generation,
-                before=view.entry.generation,
+                start=entry.incarnation,
+                before=view.entry.incarnation,
                 requests=view.load.requests,
             )
             view = None
@@ -341,11 +341,11 @@
 
 
 def _has_restarted(before: UpstreamEntry, now: UpstreamEntry) -> bool:
-    """Return whether two registrations under one id are of different generations.
+    """Return whether two registrations under one id are of different incarnations.
 
-    An entry without a generation does not count as a restart.
+    An entry without an incarnation does not count as a restart.
     """
     return (
-        bool(before.generation and now.generation)
-        and before.generation != now.generation
+        bool(before.incarnation and now.incarnation)
+        and before.incarnation != now.incarnation
     )
--- a/packages/buckthornwall/src/buckthornwall/pools/tests/test_table.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/tests/test_table.py
@@ -11,7 +11,7 @@
 PROMPT = PromptShape(ModelId("m"), 900, 10, (PromptSegment("s", 600),))
 
 
-def entry(generation: str) -> UpstreamEntry:
+def entry(incarnation: str) -> UpstreamEntry:
     return UpstreamEntry(
         UpstreamId("a"),
         POOL,
@@ -19,7 +19,7 @@
         ZoneId("z"),
         4,
         UpstreamState.READY,
-        generation=generation,
+        incarnation=incarnation,
     )
 
 
@@ -45,8 +45,8 @@
     assert list(table.members(POOL)) == [view]
 
 
-@pytest.mark.parametrize("generation", ["1", ""])
-def test_state_is_kept_without_a_new_generation(table, generation):
+@pytest.mark.parametrize("incarnation", ["1", ""])
+def test_state_is_kept_without_a_new_incarnation(table, incarnation):
     view = table.views["a"]
-    assert not table.adopt(entry(generation))
+    assert not table.adopt(entry(incarnation))
     assert table.views["a"] is view
--- a/packages/buckthornwall/src/buckthornwall/quarantine/__init__.py
+++ b/packages/buckthornwall/src/buckthornwall/quarantine/__init__.py
@@ -10,7 +10,7 @@
 """
 
 from .fingerprint import Fingerprint, fingerprint_of, format_fingerprint
-from .record import CrashRecord, GenerationTag, generation_tag
+from .record import CrashRecord, IncarnationTag, incarnation_tag
 from .settings import QuarantineSettings
 from .table import CrashReport, QuarantineTable
 
@@ -18,10 +18,10 @@
     "CrashRecord",
     "CrashReport",
     "Fingerprint",
-    "GenerationTag",
+    "IncarnationTag",
     "QuarantineSettings",
     "QuarantineTable",
     "fingerprint_of",
     "format_fingerprint",
-    "generation_tag",
+    "incarnation_tag",
 ]
--- a/packages/buckthornwall/src/buckthornwall/quarantine/record.py
+++ b/packages/buckthornwall/src/buckthornwall/quarantine/record.py
@@ -12,14 +12,14 @@
 __all__ = [
     "TAG_BYTES",
     "CrashRecord",
-    "GenerationTag",
-    "generation_tag",
+    "IncarnationTag",
+    "incarnation_tag",
     "pool_of",
     "pool_tag",
 ]
 
-# One generation of an upstream: a hash of its pool, then one of its id and generation.
-GenerationTag = NewType("GenerationTag", int)
+# One incarnation of an upstream: a hash of its pool, then one of its id and start.
+IncarnationTag = NewType("IncarnationTag", int)
 
 POOL_BYTES = 2
 UPSTREAM_BYTES = 4
@@ -33,13 +33,13 @@
     return _hash(pool, POOL_BYTES)
 
 
-def generation_tag(pool: PoolId, upstream: str, generation: str) -> GenerationTag:
-    """Return a tag that identifies one generation of an upstream."""
-    upstream_hash = _hash(f"{upstream}\0{generation}", UPSTREAM_BYTES)
-    return GenerationTag(pool_tag(pool) << 8 * UPSTREAM_BYTES | upstream_hash)
+def incarnation_tag(pool: PoolId, upstream: str, incarnation: str) -> IncarnationTag:
+    """Return a tag that identifies one incarnation of an upstream."""
+    upstream_hash = _hash(f"{upstream}\0{incarnation}", UPSTREAM_BYTES)
+    return IncarnationTag(pool_tag(pool) << 8 * UPSTREAM_BYTES | upstream_hash)
 
 
-def pool_of(tag: GenerationTag) -> int:
+def pool_of(tag: IncarnationTag) -> int:
     """Return the hash of the pool in a tag."""
     return tag >> 8 * UPSTREAM_BYTES
 
@@ -58,8 +58,8 @@
     and `reported_at` when it was last reported to peers, in seconds.
     """
 
-    terminations: set[GenerationTag] = field(default_factory=set)
-    cleared: set[GenerationTag] = field(default_factory=set)
+    terminations: set[IncarnationTag] = field(default_factory=set)
+    cleared: set[IncarnationTag] = field(default_factory=set)
     last_seen_at: float = float("-inf")
     reported_at: float = float("-inf")
 
@@ -69,7 +69,7 @@
         return len(self.terminations - self.cleared)
 
     def merge(
-        self, terminations: set[GenerationTag], cleared: set[GenerationTag]
+        self, terminations: set[IncarnationTag], cleared: set[IncarnationTag]
     ) -> None:
         """Merge the record of a peer, up to `MAX_TERMINATIONS`."""
         room = max(0, MAX_TERMINATIONS - len(self.terminations))
--- a/packages/buckthornwall/src/buckthornwall/quarantine/table.py
+++ b/packages/buckthornwall/src/buckthornwall/quarantine/table.py
@@ -17,7 +17,7 @@
 from buckthornwall.telemetry import log_event
 
 from .fingerprint import Fingerprint, format_fingerprint
-from .record import TAG_BYTES, CrashRecord, GenerationTag, pool_of, pool_tag
+from .record import TAG_BYTES, CrashRecord, IncarnationTag, pool_of, pool_tag
 from .settings import QuarantineSettings
 from .successes import RecentSuccesses
 
@@ -71,7 +71,7 @@
     # Observations of this instance
 
     def record_termination(
-        self, fingerprint: Fingerprint, tag: GenerationTag, now: float
+        self, fingerprint: Fingerprint, tag: IncarnationTag, now: float
     ) -> None:
         """Record that an upstream terminated while running a request."""
         self._merge(fingerprint, {tag}, set(), now, now)
@@ -131,8 +131,8 @@
         if not report.terminations or report.age_s > self.settings.forget_s:
             return
         fingerprint = Fingerprint(report.fingerprint)
-        terminations = {GenerationTag(tag) for tag in report.terminations}
-        cleared = {GenerationTag(tag) for tag in report.cleared}
+        terminations = {IncarnationTag(tag) for tag in report.terminations}
+        cleared = {IncarnationTag(tag) for tag in report.cleared}
         self._merge(fingerprint, terminations, cleared, now - report.age_s, now)
 
     def take_changed(self, max_reports: int, now: float) -> list[CrashReport]:
@@ -159,8 +159,8 @@
     def _merge(
         self,
         fingerprint: Fingerprint,
-        terminations: set[GenerationTag],
-        cleared: set[GenerationTag],
+        terminations: set[IncarnationTag],
+        cleared: set[IncarnationTag],
         last_seen_at: float,
         now: float,
     ) -> None:
--- a/packages/buckthornwall/src/buckthornwall/quarantine/tests/test_table.py
+++ b/packages/buckthornwall/src/buckthornwall/quarantine/tests/test_table.py
@@ -9,7 +9,7 @@
     Fingerprint,
     QuarantineSettings,
     QuarantineTable,
-    generation_tag,
+    incarnation_tag,
 )
 from buckthornwall.routing import PoolId
 
@@ -19,8 +19,8 @@
 NOW = 1000.0
 
 
-def tag(upstream, pool=POOL, generation=""):
-    return generation_tag(pool, upstream, generation)
+def tag(upstream, pool=POOL, incarnation=""):
+    return incarnation_tag(pool, upstream, incarnation)
 
 
 def make_table(**changes):
@@ -55,9 +55,9 @@
     assert table.records[REQUEST].crashes == 1
 
 
-def test_each_generation_of_an_upstream_counts(table):
-    for generation in ("1", "2", "3"):
-        table.record_termination(REQUEST, tag("a", generation=generation), NOW)
+def test_each_incarnation_of_an_upstream_counts(table):
+    for incarnation in ("1", "2", "3"):
+        table.record_termination(REQUEST, tag("a", incarnation=incarnation), NOW)
     assert table.is_refused(REQUEST, NOW)
 
 
