--- a/packages/buckthornwall/src/buckthornwall/node/loads.py
+++ b/packages/buckthornwall/src/buckthornwall/node/loads.py
@@ -63,6 +63,6 @@
         if report is None or engine is None:
             return
         in_use, leaving = report
-        engine.take_report(in_use)
+        engine.receive_load_report(in_use)
         if leaving:
             self.is_leaving(engine_id)
--- a/packages/buckthornwall/src/buckthornwall/scheduling/__init__.py
+++ b/packages/buckthornwall/src/buckthornwall/scheduling/__init__.py
@@ -8,7 +8,7 @@
 from .agent import SchedulerAgent
 from .core import PoolScheduler
 from .decisions import Decision, GrantDecision, PreemptDecision, RefusalDecision
-from .engines import EngineState, exact_share, reported_load
+from .engines import EngineState, reported_capacity, share_capacity
 from .entry import EntryAgent, SlotRequest
 from .queue import FairQueue, Ticket
 from .settings import SchedulingSettings
@@ -26,6 +26,6 @@
     "SchedulingSettings",
     "SlotRequest",
     "Ticket",
-    "exact_share",
-    "reported_load",
+    "share_capacity",
+    "reported_capacity",
 ]
--- a/packages/buckthornwall/src/buckthornwall/scheduling/agent.py
+++ b/packages/buckthornwall/src/buckthornwall/scheduling/agent.py
@@ -26,18 +26,18 @@
 
 from .core import PoolScheduler
 from .decisions import Decision, GrantDecision, PreemptDecision
-from .engines import exact_share, reported_load
+from .engines import reported_capacity, share_capacity
 from .settings import SchedulingSettings
 
 __all__ = ["SchedulerAgent"]
 
 INBOX_SIZE = math.inf
-UNKNOWN_RETRY_S = 1.0
+UNKNOWN_MODEL_RETRY_S = 1.0
 Send = Callable[[NodeId, Message], bool]
 
 
 @dataclass
-class _Role:
+class _PoolRole:
     """One pool that this instance schedules, for others or for itself only.
 
     `lease_renewed_at` holds when each instance last left us its part of the pool,
@@ -80,15 +80,15 @@
         self.send = send
         self.incarnation = Incarnation(new_id())
         self.delays = DelayEstimator()
-        self.roles: dict[tuple[ModelId, bool], _Role] = {}
-        self.inbox_in, self.inbox = trio.open_memory_channel(INBOX_SIZE)
-        freeze.listeners.append(self.forget_everything)
+        self.roles: dict[tuple[ModelId, bool], _PoolRole] = {}
+        self.inbox_send, self.inbox = trio.open_memory_channel(INBOX_SIZE)
+        freeze.listeners.append(self.reset)
 
     def deliver(self, node: NodeId, message: Message) -> None:
         """Take a message for the task to handle."""
-        self.inbox_in.send_nowait((node, message))
+        self.inbox_send.send_nowait((node, message))
 
-    def forget_everything(self) -> None:
+    def reset(self) -> None:
         """After a freeze: every view is old, so start with empty ones.
 
         Entries repeat what still waits, and say what they still hold.
@@ -100,7 +100,7 @@
         """Follow newer records in every pool."""
         for key, role in list(self.roles.items()):
             for decision in role.scheduler.set_records(self.store.view):
-                self._announce(decision, role)
+                self._send_decision(decision, role)
             if role.scheduler.model is None and not role.scheduler.slots:
                 del self.roles[key]
 
@@ -112,7 +112,7 @@
                 await self._receive_batch()
             self.freeze.check()
             if self.clock.now() >= next_tick:
-                self.renew()
+                self.renew_fractions()
                 self.decide(self.roles.values())
                 next_tick = self.clock.now() + self.settings.tick_s
 
@@ -126,18 +126,18 @@
             touched.update({id(role): role for role in self.handle(node, message)})
         self.decide(touched.values())
 
-    def decide(self, roles: Iterable[_Role]) -> None:
+    def decide(self, roles: Iterable[_PoolRole]) -> None:
         """Announce what the schedulers decide, then acknowledge what waits on."""
         now = self.clock.now()
         for role in list(roles):
             for decision in role.scheduler.decide(now):
-                self._announce(decision, role)
+                self._send_decision(decision, role)
             for node, request in role.unacknowledged:
                 if request in role.scheduler.queue:
                     self.send(node, EnqueueAccepted(request))
             role.unacknowledged.clear()
 
-    def handle(self, node: NodeId, message: Message) -> list[_Role]:
+    def handle(self, node: NodeId, message: Message) -> list[_PoolRole]:
         """Take one message into the state of its pool; return the pools touched."""
         now = self.clock.now()
         roles = list(self.roles.values())
@@ -157,38 +157,40 @@
             return self._receive_slot_report(node, message, now)
         return []
 
-    def _enqueue(self, node: NodeId, message: Enqueue, now: float) -> list[_Role]:
+    def _enqueue(self, node: NodeId, message: Enqueue, now: float) -> list[_PoolRole]:
         if self.store.view is None or message.pool not in self.store.view.models:
             code = ResultCode.UNKNOWN_MODEL.number
-            self.send(node, EnqueueRefused(message.request, code, UNKNOWN_RETRY_S))
+            self.send(
+                node, EnqueueRefused(message.request, code, UNKNOWN_MODEL_RETRY_S)
+            )
             return []
         role = self.roles.get((message.pool, message.local))
         if role is None and not message.local:
             return []  # not left to us; the sender finds out whose it is
-        role = role or self._role(message.pool, local=True)
+        role = role or self._get_role(message.pool, local=True)
         for decision in role.scheduler.enqueue(node, message, now):
-            self._announce(decision, role)
+            self._send_decision(decision, role)
         role.unacknowledged.append((node, message.request))
         return [role]
 
-    def _role(self, pool: ModelId, local: bool) -> _Role:
+    def _get_role(self, pool: ModelId, local: bool) -> _PoolRole:
         role = self.roles.get((pool, local))
         if role is None:
             mode = self.store.view.models[pool].scheduling
-            by_report = local and mode is SchedulingMode.ALONE
+            uses_load_report = local and mode is SchedulingMode.ALONE
             scheduler = PoolScheduler.from_config(
                 pool,
                 self.store.view,
                 self.members.is_leaving,
-                reported_load if by_report else exact_share,
+                reported_capacity if uses_load_report else share_capacity,
             )
-            role = self.roles[pool, local] = _Role(scheduler, local)
-            self._set_fraction(role, self.clock.now())
+            role = self.roles[pool, local] = _PoolRole(scheduler, local)
+            self._update_fraction(role, self.clock.now())
         return role
 
     def _receive_slot_report(
         self, node: NodeId, message: SlotReport, now: float
-    ) -> list[_Role]:
+    ) -> list[_PoolRole]:
         if node == self.node:
             role = self.roles.get((message.pool, True))
             if role is not None:
@@ -202,11 +204,11 @@
         sent_at = now - self._excess_delay_s(node, message, now)
         if now - sent_at > self.settings.support_s:
             return []  # held up for so long that the lease has ended
-        role = self._role(message.pool, local=False)
+        role = self._get_role(message.pool, local=False)
         role.lease_renewed_at[node] = sent_at
         role.lease_numbers[node] = message.lease
         role.scheduler.reconcile_slots(node, message.running, now)
-        self._set_fraction(role, now)
+        self._update_fraction(role, now)
         return [role]
 
     def _excess_delay_s(self, node: NodeId, message: SlotReport, now: float) -> float:
@@ -216,24 +218,24 @@
         incarnation = member.incarnation if member else Incarnation(0)
         return self.delays.excess_delay_s(node, incarnation, message.sent_at, now)
 
-    def _end_lease(self, node: NodeId, message: SlotReport) -> list[_Role]:
+    def _end_lease(self, node: NodeId, message: SlotReport) -> list[_PoolRole]:
         role = self.roles.get((message.pool, False))
         touched = []
         if role is not None:
             role.lease_renewed_at.pop(node, None)
-            role.scheduler.forget_node(node)
-            self._set_fraction(role, self.clock.now())
+            role.scheduler.remove_node(node)
+            self._update_fraction(role, self.clock.now())
             touched.append(role)
         self.send(node, ShareLeaseEnded(message.pool, message.lease))
         return touched
 
-    def renew(self) -> None:
+    def renew_fractions(self) -> None:
         """Renew the parts we may use, and drop pools without leases."""
         now = self.clock.now()
         if self.store.view is None:
             return
         for key, role in list(self.roles.items()):
-            self._set_fraction(role, now)
+            self._update_fraction(role, now)
             if not role.local and not role.lease_renewed_at:
                 del self.roles[key]
 
@@ -254,9 +256,9 @@
         for role in self.roles.values():
             if not role.local and node in role.lease_renewed_at:
                 del role.lease_renewed_at[node]
-                role.scheduler.forget_node(node)
+                role.scheduler.remove_node(node)
 
-    def _set_fraction(self, role: _Role, now: float) -> None:
+    def _update_fraction(self, role: _PoolRole, now: float) -> None:
         """Set the part of the slots that this scheduler may use."""
         expected = self.members.share_count()
         if role.local:
@@ -265,10 +267,10 @@
         for node, renewed_at in list(role.lease_renewed_at.items()):
             if now - renewed_at > self.settings.support_s:
                 del role.lease_renewed_at[node]
-                role.scheduler.forget_node(node)
+                role.scheduler.remove_node(node)
         role.scheduler.fraction = min(1.0, len(role.lease_renewed_at) / expected)
 
-    def _announce(self, decision: Decision, role: _Role) -> None:
+    def _send_decision(self, decision: Decision, role: _PoolRole) -> None:
         if isinstance(decision, PreemptDecision):
             self.send(decision.node, Preempt(decision.grant))
             return
--- a/packages/buckthornwall/src/buckthornwall/scheduling/core.py
+++ b/packages/buckthornwall/src/buckthornwall/scheduling/core.py
@@ -17,9 +17,9 @@
 )
 
 from .decisions import Decision, GrantDecision, PreemptDecision, RefusalDecision
-from .engines import EngineState, Slot, exact_share
+from .engines import EngineState, Slot, share_capacity
 from .estimates import ServiceEstimates
-from .placement import soonest
+from .placement import fastest_engine
 from .preemption import choose_victims
 from .queue import FairQueue, Ticket
 from .slot_table import SlotTable
@@ -27,15 +27,15 @@
 __all__ = ["PoolScheduler"]
 
 STARVATION_S = 10.0
-UNCONFIRMED_S = 3.0
-TOTAL_FOR_S = 0.01
+UNCONFIRMED_GRANT_S = 3.0
+TOTAL_CACHE_S = 0.01
 # A prediction takes it that everyone who waits goes on waiting and that the
 # others' demand lasts; docs/design/scheduling.md says which run chose this.
-PATIENCE = 2.0
+WAIT_OVERESTIMATE = 2.0
 # Part of the target for a first token after which a slot is taken for it.
-OVERDUE_PART = 0.25
-SHORTEST_RETRY_S = 1.0
-LONGEST_RETRY_S = 60.0
+OVERDUE_FRACTION = 0.25
+MIN_RETRY_AFTER_S = 1.0
+MAX_RETRY_AFTER_S = 60.0
 
 Capacity = Callable[[EngineState, float], int]
 
@@ -52,7 +52,7 @@
     is_leaving
         Tells whether an upstream should get no new work, at a time.
     capacity
-        How many slots of an engine may be used; see `exact_share`.
+        How many slots of an engine may be used; see `share_capacity`.
     """
 
     def __init__(
@@ -60,7 +60,7 @@
         pool: ModelId,
         view: RecordView,
         is_leaving: Callable[[UpstreamId, float], bool],
-        capacity: Capacity = exact_share,
+        capacity: Capacity = share_capacity,
     ) -> None:
         self.pool = pool
         self.is_leaving = is_leaving
@@ -69,7 +69,7 @@
         self.engines: dict[UpstreamId, EngineState] = {}
         self.slots = SlotTable()
         self._total = 0
-        self._total_for = (-math.inf, 0.0)
+        self._total_computed_for = (-math.inf, 0.0)
         self.teams = view.teams
         self.queue = FairQueue(view.classes, self._share_of)
         self.estimates = ServiceEstimates()
@@ -81,7 +81,7 @@
         pool: ModelId,
         view: RecordView,
         is_leaving: Callable[[UpstreamId, float], bool],
-        capacity: Capacity = exact_share,
+        capacity: Capacity = share_capacity,
     ) -> "PoolScheduler":
         """Build a scheduler for `pool` from the records in force."""
         return cls(pool, view, is_leaving, capacity)
@@ -106,10 +106,10 @@
                 state.limit = min(state.limit, float(record.slots))
         for engine_id in set(self.engines) - set(records):
             for grant in list(self.engines[engine_id].running):
-                self.slots.end(grant)
+                self.slots.free(grant)
             del self.engines[engine_id]
         return [
-            RefusalDecision(ticket, ResultCode.CLASS_WITHDRAWN, SHORTEST_RETRY_S)
+            RefusalDecision(ticket, ResultCode.CLASS_WITHDRAWN, MIN_RETRY_AFTER_S)
             for ticket in self.queue.set_classes(view.classes)
         ]
 
@@ -140,11 +140,11 @@
             resumed=message.resumed,
             preemptible=message.preemptible,
         )
-        if not self.queue.knows(ticket.service_class):
+        if not self.queue.has_class(ticket.service_class):
             return [RefusalDecision(ticket, ResultCode.CLASS_WITHDRAWN, 1.0)]
         if not self.engines:
-            return [RefusalDecision(ticket, ResultCode.NO_ENGINE, SHORTEST_RETRY_S)]
-        self.queue.note_demand(ticket.service_class, now)
+            return [RefusalDecision(ticket, ResultCode.NO_ENGINE, MIN_RETRY_AFTER_S)]
+        self.queue.record_demand(ticket.service_class, now)
         refusal = self._refuse_early(ticket, now)
         if refusal is not None:
             return [refusal]
@@ -160,25 +160,28 @@
         ):
             return None  # let one wait for the slot that a starving class gets
         wait_s = self.predicted_wait(ticket, now)
-        if now + wait_s / PATIENCE + self.estimates.first_token_s <= ticket.deadline:
+        if (
+            now + wait_s / WAIT_OVERESTIMATE + self.estimates.first_token_s
+            <= ticket.deadline
+        ):
             return None
         return RefusalDecision(ticket, ResultCode.OVERLOADED, self._retry_after(wait_s))
 
     @staticmethod
     def _retry_after(wait_s: float) -> float:
-        return min(LONGEST_RETRY_S, max(SHORTEST_RETRY_S, math.ceil(wait_s)))
+        return min(MAX_RETRY_AFTER_S, max(MIN_RETRY_AFTER_S, math.ceil(wait_s)))
 
     def predicted_wait(self, ticket: Ticket, now: float) -> float:
         """Predict the seconds until a new ticket of this class would start."""
         total = self._total_slots(now)
-        urgent = len(self.slots) - self.slots.fair_in_use
-        slots = min(self._fair_slots(now), max(1, total - urgent))
-        free = slots - self.slots.fair_in_use
+        urgent = len(self.slots) - self.slots.non_urgent_in_use
+        slots = min(self._non_urgent_slots(now), max(1, total - urgent))
+        free = slots - self.slots.non_urgent_in_use
         if free > len(self.queue):
             return 0.0
-        ahead, part = self.queue.tickets_ahead(ticket)
+        ahead, fraction = self.queue.tickets_ahead(ticket)
         service_s = self.estimates.service_s(ticket.service_class)
-        return (ahead + 1) * service_s / (slots * part)
+        return (ahead + 1) * service_s / (slots * fraction)
 
     def withdraw(self, request: RequestId) -> None:
         """Forget a request whose caller is gone."""
@@ -187,89 +190,95 @@
 
     def release(self, message: Release, now: float) -> None:
         """Take a slot back and learn from what its entry saw."""
-        found = self.slots.end(message.grant)
+        found = self.slots.free(message.grant)
         if found is None:
             return
         engine, slot = found
         if message.kind is ReleaseKind.FAILED:
-            engine.failed(now)
+            engine.record_failure(now)
         elif message.kind is ReleaseKind.DONE:
-            engine.worked()
-            self._learn(engine, slot, message, now)
+            engine.record_success()
+            self._record_completion(engine, slot, message, now)
         if message.kind is ReleaseKind.LEAVING:
             engine.down_until = now + STARVATION_S
         self.queue.charge(
-            slot.service_class, slot.team, message.tokens - slot.charged, now
+            slot.service_class, slot.team, message.tokens - slot.charged_tokens, now
         )
 
-    def _learn(
+    def _record_completion(
         self, engine: EngineState, slot: Slot, message: Release, now: float
     ) -> None:
-        key = slot.service_class
-        self.estimates.learn(slot, message, now)
-        if message.inter_token_s and self.queue.knows(key):
-            own_s = self.queue.record(key).targets.inter_token_s
-            target_s = min(own_s, self._pace_target() or own_s)
+        class_id = slot.service_class
+        self.estimates.record(slot, message, now)
+        if message.inter_token_s and self.queue.has_class(class_id):
+            class_target_s = self.queue.record(class_id).targets.inter_token_s
+            target_s = min(
+                class_target_s, self._strictest_inter_token_s() or class_target_s
+            )
             engine.observe_inter_token(message.inter_token_s, target_s, now)
 
     def reconcile_slots(
         self, node: NodeId, running: Iterable[ReportedSlot], now: float
     ) -> None:
         """Make our count of a node's slots agree with what the node says."""
-        said = {holding.grant: holding for holding in running}
+        reported_slots = {reported.grant: reported for reported in running}
         for slot in self.slots.of_node(node):
-            if slot.grant in said:
+            if slot.grant in reported_slots:
                 slot.confirmed = True
-            elif slot.confirmed or now - slot.granted_at > UNCONFIRMED_S:
-                self.slots.end(slot.grant)
-        for holding in said.values():
-            self._reconcile_slot(node, holding, now)
+            elif slot.confirmed or now - slot.granted_at > UNCONFIRMED_GRANT_S:
+                self.slots.free(slot.grant)
+        for reported in reported_slots.values():
+            self._reconcile_slot(node, reported, now)
 
-    def _reconcile_slot(self, node: NodeId, holding: ReportedSlot, now: float) -> None:
-        found = self.slots.get(holding.grant)
+    def _reconcile_slot(self, node: NodeId, reported: ReportedSlot, now: float) -> None:
+        found = self.slots.get(reported.grant)
         if found is None:
-            engine = self.engines.get(holding.engine)
-            if engine is None or not self.queue.knows(holding.service_class):
+            engine = self.engines.get(reported.engine)
+            if engine is None or not self.queue.has_class(reported.service_class):
                 return
             slot = Slot(
-                holding.grant,
+                reported.grant,
                 node,
-                holding.service_class,
-                holding.team,
-                self.queue.record(holding.service_class).urgent,
+                reported.service_class,
+                reported.team,
+                self.queue.record(reported.service_class).urgent,
                 now,
-                charged=holding.tokens,
-                tokens=holding.tokens,
-                seen_at=now,
+                charged_tokens=reported.tokens,
+                tokens=reported.tokens,
+                progress_at=now,
                 confirmed=True,
             )
-            self.slots.start(engine, slot)
+            self.slots.occupy(engine, slot)
             return
         engine, slot = found
-        self._take_progress(engine, slot, holding.tokens, now)
+        self._record_progress(engine, slot, reported.tokens, now)
 
-    def _take_progress(
+    def _record_progress(
         self, engine: EngineState, slot: Slot, tokens: int, now: float
     ) -> None:
         """Charge tokens beyond the estimate and learn the engine's pace."""
-        fresh = tokens - slot.tokens
-        target_s = self._pace_target()
-        if fresh > 0 and slot.tokens > 0 and target_s is not None:
-            engine.observe_inter_token((now - slot.seen_at) / fresh, target_s, now)
-        if fresh > 0 or not slot.seen_at:
+        new_tokens = tokens - slot.tokens
+        target_s = self._strictest_inter_token_s()
+        if new_tokens > 0 and slot.tokens > 0 and target_s is not None:
+            engine.observe_inter_token(
+                (now - slot.progress_at) / new_tokens, target_s, now
+            )
+        if new_tokens > 0 or not slot.progress_at:
             slot.tokens = tokens
-            slot.seen_at = now
-        if tokens > slot.charged:
-            self.queue.charge(slot.service_class, slot.team, tokens - slot.charged, now)
-            slot.charged = tokens
+            slot.progress_at = now
+        if tokens > slot.charged_tokens:
+            self.queue.charge(
+                slot.service_class, slot.team, tokens - slot.charged_tokens, now
+            )
+            slot.charged_tokens = tokens
 
-    def forget_node(self, node: NodeId) -> None:
+    def remove_node(self, node: NodeId) -> None:
         """Drop what a dead or suspected node asked for and held."""
         for ticket in self.queue.tickets():
             if ticket.node == node:
                 self.queue.remove(ticket.request)
         for slot in self.slots.of_node(node):
-            self.slots.end(slot.grant)
+            self.slots.free(slot.grant)
 
     # What is decided
 
@@ -292,11 +301,11 @@
 
     def _preempt(self, now: float) -> list[Decision]:
         """Take slots back from the lowest tiers for urgent work that is overdue."""
-        overdue = self.queue.urgent_overdue(now, OVERDUE_PART)
+        overdue = self.queue.urgent_overdue(now, OVERDUE_FRACTION)
         if not overdue:
             return []
         chosen = choose_victims(
-            self.slots, self.queue, overdue, lambda engine: self._usable(engine, now)
+            self.slots, self.queue, overdue, lambda engine: self._is_usable(engine, now)
         )
         for slot in chosen:
             slot.preempting = True
@@ -317,43 +326,43 @@
         urgent = self.queue.urgent_head()
         if urgent is not None:
             return urgent
-        if self.slots.fair_in_use >= self._fair_slots(now):
+        if self.slots.non_urgent_in_use >= self._non_urgent_slots(now):
             return None
-        return self.queue.fair_head(now)
+        return self.queue.non_urgent_head(now)
 
-    def _usable(self, engine: EngineState, now: float) -> bool:
+    def _is_usable(self, engine: EngineState, now: float) -> bool:
         return engine.down_until <= now and not self.is_leaving(engine.id, now)
 
     def _total_slots(self, now: float) -> int:
         """Return the slots that may be used in all.
 
-        It is worked out anew at most every `TOTAL_FOR_S`: going through the
+        It is worked out anew at most every `TOTAL_CACHE_S`: going through the
         engines was nine tenths of a decision's time, and nothing that it
-        depends on, but for our part, changes faster.
+        depends on, but for our fraction, changes faster.
         """
-        worked_out_at, fraction = self._total_for
-        if now - worked_out_at >= TOTAL_FOR_S or fraction != self.fraction:
-            self._total_for = (now, self.fraction)
+        computed_at, fraction = self._total_computed_for
+        if now - computed_at >= TOTAL_CACHE_S or fraction != self.fraction:
+            self._total_computed_for = (now, self.fraction)
             self._total = sum(
                 self.capacity(engine, self.fraction)
                 for engine in self.engines.values()
-                if self._usable(engine, now)
+                if self._is_usable(engine, now)
             )
         return self._total
 
-    def _fair_slots(self, now: float) -> int:
+    def _non_urgent_slots(self, now: float) -> int:
         """Return how many slots work that is not urgent may hold in all."""
         total = self._total_slots(now)
         reserve = self.model.urgent_reserve if self.model else 0.0
         return max(1, total - math.ceil(total * reserve))
 
-    def _pace_target(self) -> float | None:
+    def _strictest_inter_token_s(self) -> float | None:
         """Return the strictest inter-token target among what runs here."""
         return min(
             (
-                self.queue.record(each).targets.inter_token_s
-                for each in self.slots.in_use
-                if self.queue.knows(each)
+                self.queue.record(class_id).targets.inter_token_s
+                for class_id in self.slots.in_use
+                if self.queue.has_class(class_id)
             ),
             default=None,
         )
@@ -363,19 +372,19 @@
         with_room = [
             engine
             for engine in self.engines.values()
-            if self._usable(engine, now)
+            if self._is_usable(engine, now)
             and len(engine.running) < self.capacity(engine, self.fraction)
         ]
-        others = [each for each in with_room if each.id not in ticket.excluded]
-        candidates = others or with_room
+        not_excluded = [each for each in with_room if each.id not in ticket.excluded]
+        candidates = not_excluded or with_room
         if not candidates:
             return None
-        return soonest(candidates, ticket.prefix)
+        return fastest_engine(candidates, ticket.prefix)
 
     def _grant(self, ticket: Ticket, engine: EngineState, now: float) -> GrantDecision:
         self.queue.remove(ticket.request)
         record: ServiceClass = self.queue.record(ticket.service_class)
-        estimate = self.estimates.answer_tokens(ticket.service_class)
+        estimate = self.estimates.response_tokens(ticket.service_class)
         slot = Slot(
             GrantId(new_id()),
             ticket.node,
@@ -383,16 +392,16 @@
             ticket.team,
             record.urgent,
             now,
-            charged=estimate,
+            charged_tokens=estimate,
             request=ticket.request,
             preemptible=ticket.preemptible and not (record.urgent or ticket.resumed),
         )
-        self.slots.start(engine, slot)
+        self.slots.occupy(engine, slot)
         self.queue.charge(ticket.service_class, ticket.team, estimate, now)
-        self.queue.mark_served(ticket.service_class)
+        self.queue.record_slot(ticket.service_class)
         engine.granted_since_report += 1
         if ticket.prefix:
             engine.remember_prefix(ticket.prefix)
         decision = GrantDecision(ticket, engine.id, slot.grant)
-        self.slots.note_grant(decision)
+        self.slots.record_grant(decision)
         return decision
--- a/packages/buckthornwall/src/buckthornwall/scheduling/placement.py
+++ b/packages/buckthornwall/src/buckthornwall/scheduling/placement.py
@@ -10,21 +10,21 @@
 
 from .engines import EngineState
 
-__all__ = ["soonest"]
+__all__ = ["fastest_engine"]
 
 LOAD_BOUND = 1.25
-PREFIX_BONUS = 0.7
-HOME_BONUS = 0.85
-OPTIMISM = 0.9
-UNKNOWN_PACE = 1.0
+CACHED_PREFIX_FACTOR = 0.7
+AFFINITY_FACTOR = 0.85
+UNMEASURED_FACTOR = 0.9
+DEFAULT_INTER_TOKEN_S = 1.0
 
 
-def soonest(candidates: list[EngineState], prefix: int) -> EngineState:
+def fastest_engine(candidates: list[EngineState], prefix: int) -> EngineState:
     """Return the engine to use.
 
     The score is the observed inter-token time grown by the load. It is less
     for an engine that has the prompt's prefix in cache, and a little less for
-    the prefix's home by rendezvous hash, while that engine is not loaded past
+    the prefix's affinity engine by rendezvous hash, while that engine is not loaded past
     a bound [1]_.
 
     Parameters
@@ -38,21 +38,21 @@
         return candidates[0]
     mean_load = sum(len(each.running) for each in candidates) / len(candidates)
     bound = LOAD_BOUND * mean_load + 1
-    home = rendezvous_winner(str(prefix), [each.id for each in candidates])
-    paces = [each.inter_token_s for each in candidates if each.inter_token_s]
+    affinity_engine = rendezvous_winner(str(prefix), [each.id for each in candidates])
+    measured = [each.inter_token_s for each in candidates if each.inter_token_s]
     # One that was not measured yet is taken to beat the best, or a pool would
     # never look beyond the first engine it tried.
-    unmeasured_pace = OPTIMISM * min(paces, default=UNKNOWN_PACE)
+    unmeasured_s = UNMEASURED_FACTOR * min(measured, default=DEFAULT_INTER_TOKEN_S)
 
     def score(engine: EngineState) -> float:
-        pace = engine.inter_token_s or unmeasured_pace
-        expected = pace * (1 + len(engine.running) / engine.limit)
+        inter_token_s = engine.inter_token_s or unmeasured_s
+        expected = inter_token_s * (1 + len(engine.running) / engine.limit)
         if not prefix or len(engine.running) >= bound:
             return expected
         if prefix in engine.prefixes:
-            return expected * PREFIX_BONUS
-        if engine.id == home:
-            return expected * HOME_BONUS
+            return expected * CACHED_PREFIX_FACTOR
+        if engine.id == affinity_engine:
+            return expected * AFFINITY_FACTOR
         return expected
 
     return min(candidates, key=score)
--- a/packages/buckthornwall/src/buckthornwall/scheduling/preemption.py
+++ b/packages/buckthornwall/src/buckthornwall/scheduling/preemption.py
@@ -38,7 +38,7 @@
         if slot.preemptible
         and not slot.preempting
         and is_usable(engine)
-        and queue.knows(slot.service_class)
+        and queue.has_class(slot.service_class)
     ]
     victims.sort(key=lambda slot: (-queue.record(slot.service_class).tier, slot.tokens))
     return victims[: max(0, wanted)]
--- a/packages/buckthornwall/src/buckthornwall/scheduling/queue.py
+++ b/packages/buckthornwall/src/buckthornwall/scheduling/queue.py
@@ -22,7 +22,7 @@
 
 __all__ = ["FairQueue", "Ticket"]
 
-SHARE_MEMORY_S = 10.0
+RECENT_TOKENS_TAU_S = 10.0
 
 
 @dataclass(slots=True)
@@ -48,38 +48,38 @@
 
 
 @dataclass(slots=True)
-class _TeamLine:
+class _TeamQueue:
     """One team's tickets within a class, in order of arrival."""
 
     share: float
-    virtual: float = 0.0
+    virtual_time: float = 0.0
     tickets: deque[Ticket] = field(default_factory=deque)
 
 
 @dataclass(slots=True)
-class _ClassLine:
+class _ClassQueue:
     """One class's teams, its virtual time and its recent share of tokens."""
 
     record: ServiceClass
-    virtual: float = 0.0
+    virtual_time: float = 0.0
     recent_tokens: float = 0.0
     recent_at: float = 0.0
-    hungry_since: float | None = None
+    unserved_since: float | None = None
     waiting: int = 0
-    teams: dict[TeamId, _TeamLine] = field(default_factory=dict)
+    teams: dict[TeamId, _TeamQueue] = field(default_factory=dict)
 
-    def backlogged(self) -> Iterator[tuple[TeamId, _TeamLine]]:
-        return ((team, line) for team, line in self.teams.items() if line.tickets)
+    def backlogged(self) -> Iterator[tuple[TeamId, _TeamQueue]]:
+        return ((team, queue) for team, queue in self.teams.items() if queue.tickets)
 
-    def next_team(self) -> _TeamLine:
+    def next_team(self) -> _TeamQueue:
         return min(
-            (line for _, line in self.backlogged()),
-            key=lambda line: (not line.tickets[0].resumed, line.virtual),
+            (queue for _, queue in self.backlogged()),
+            key=lambda queue: (not queue.tickets[0].resumed, queue.virtual_time),
         )
 
-    def decayed(self, now: float) -> float:
+    def decayed_tokens(self, now: float) -> float:
         age = now - self.recent_at
-        return self.recent_tokens * math.exp(-age / SHARE_MEMORY_S)
+        return self.recent_tokens * math.exp(-age / RECENT_TOKENS_TAU_S)
 
 
 class FairQueue:
@@ -95,7 +95,7 @@
 
     def __init__(self, classes: dict[ClassId, ServiceClass], share_of) -> None:
         self.share_of = share_of
-        self._lines: dict[ClassId, _ClassLine] = {}
+        self._queues: dict[ClassId, _ClassQueue] = {}
         self._tickets: dict[RequestId, Ticket] = {}
         self._deadlines: list[tuple[float, RequestId]] = []
         self.set_classes(classes)
@@ -109,13 +109,13 @@
         ]
         for ticket in orphans:
             self.remove(ticket.request)
-        for class_id in set(self._lines) - set(classes):
-            del self._lines[class_id]
+        for class_id in set(self._queues) - set(classes):
+            del self._queues[class_id]
         for class_id, record in classes.items():
-            if class_id in self._lines:
-                self._lines[class_id].record = record
+            if class_id in self._queues:
+                self._queues[class_id].record = record
             else:
-                self._lines[class_id] = _ClassLine(record)
+                self._queues[class_id] = _ClassQueue(record)
         return orphans
 
     def __len__(self) -> int:
@@ -132,30 +132,32 @@
 
     def record(self, class_id: ClassId) -> ServiceClass:
         """Return the record of a class; KeyError if it was deleted."""
-        return self._lines[class_id].record
+        return self._queues[class_id].record
 
-    def knows(self, class_id: ClassId) -> bool:
+    def has_class(self, class_id: ClassId) -> bool:
         """Tell whether the class is in force."""
-        return class_id in self._lines
+        return class_id in self._queues
 
-    def note_demand(self, class_id: ClassId, now: float) -> None:
+    def record_demand(self, class_id: ClassId, now: float) -> None:
         """Note that a request of the class came, whatever becomes of it."""
-        line = self._lines[class_id]
-        if line.hungry_since is None:
-            line.hungry_since = now
+        queue = self._queues[class_id]
+        if queue.unserved_since is None:
+            queue.unserved_since = now
 
     def push(self, ticket: Ticket) -> None:
         """Add a ticket; a resumed one goes before its team's others."""
-        line = self._lines[ticket.service_class]
-        if not line.waiting:
-            line.virtual = max(line.virtual, self._least_virtual())
-        line.waiting += 1
-        team = line.teams.get(ticket.team)
+        queue = self._queues[ticket.service_class]
+        if not queue.waiting:
+            queue.virtual_time = max(queue.virtual_time, self._min_virtual_time())
+        queue.waiting += 1
+        team = queue.teams.get(ticket.team)
         if team is None:
-            team = line.teams[ticket.team] = _TeamLine(self.share_of(ticket.team))
+            team = queue.teams[ticket.team] = _TeamQueue(self.share_of(ticket.team))
         if not team.tickets:
-            others = [each.virtual for _, each in line.backlogged()]
-            team.virtual = max(team.virtual, min(others, default=team.virtual))
+            others = [each.virtual_time for _, each in queue.backlogged()]
+            team.virtual_time = max(
+                team.virtual_time, min(others, default=team.virtual_time)
+            )
         if ticket.resumed:
             team.tickets.appendleft(ticket)
         else:
@@ -163,9 +165,9 @@
         self._tickets[ticket.request] = ticket
         heapq.heappush(self._deadlines, (ticket.deadline, ticket.request))
 
-    def _least_virtual(self) -> float:
+    def _min_virtual_time(self) -> float:
         return min(
-            (line.virtual for line in self._lines.values() if line.waiting),
+            (queue.virtual_time for queue in self._queues.values() if queue.waiting),
             default=0.0,
         )
 
@@ -173,9 +175,9 @@
         """Take a ticket out, wherever it stands."""
         ticket = self._tickets.pop(request, None)
         if ticket is not None:
-            line = self._lines[ticket.service_class]
-            line.waiting -= 1
-            line.teams[ticket.team].tickets.remove(ticket)
+            queue = self._queues[ticket.service_class]
+            queue.waiting -= 1
+            queue.teams[ticket.team].tickets.remove(ticket)
         return ticket
 
     def pop_expired(self, now: float) -> list[Ticket]:
@@ -192,88 +194,92 @@
     def urgent_head(self) -> Ticket | None:
         """Return the urgent ticket to serve next, leaving it in place."""
         heads = [
-            line.next_team().tickets[0]
-            for line in self._lines.values()
-            if line.waiting and line.record.urgent
+            queue.next_team().tickets[0]
+            for queue in self._queues.values()
+            if queue.waiting and queue.record.urgent
         ]
         return min(heads, key=lambda ticket: ticket.deadline, default=None)
 
-    def urgent_overdue(self, now: float, part: float) -> int:
-        """Count the urgent tickets that have used up `part` of their time.
+    def urgent_overdue(self, now: float, fraction: float) -> int:
+        """Count the urgent tickets that have used up `fraction` of their time.
 
         The time is the class's target for the first token.
         """
         return sum(
-            now - ticket.received > part * line.record.targets.first_token_s
-            for line in self._lines.values()
-            if line.waiting and line.record.urgent
-            for _, team in line.backlogged()
+            now - ticket.received > fraction * queue.record.targets.first_token_s
+            for queue in self._queues.values()
+            if queue.waiting and queue.record.urgent
+            for _, team in queue.backlogged()
             for ticket in team.tickets
         )
 
-    def fair_head(self, now: float) -> Ticket | None:
+    def non_urgent_head(self, now: float) -> Ticket | None:
         """Return the next ticket of the classes that are not urgent.
 
         A class below its floor goes first, the least served of them before
         the others; then the class that is least far along.
         """
-        lines = [
-            line
-            for line in self._lines.values()
-            if line.waiting and not line.record.urgent
+        queues = [
+            queue
+            for queue in self._queues.values()
+            if queue.waiting and not queue.record.urgent
         ]
-        if not lines:
+        if not queues:
             return None
-        total = sum(line.decayed(now) for line in self._lines.values())
-        line = min(lines, key=lambda each: self._rank(each, total, now))
-        return line.next_team().tickets[0]
+        total = sum(queue.decayed_tokens(now) for queue in self._queues.values())
+        queue = min(queues, key=lambda each: self._service_order(each, total, now))
+        return queue.next_team().tickets[0]
 
     @staticmethod
-    def _rank(line: _ClassLine, total: float, now: float) -> tuple[bool, float]:
-        floor = line.record.floor
-        if floor and line.decayed(now) < floor * total:
-            return (False, line.decayed(now) / floor)
-        return (True, line.virtual)
-
-    def is_starving(self, class_id: ClassId, now: float, patience_s: float) -> bool:
+    def _service_order(
+        queue: _ClassQueue, total: float, now: float
+    ) -> tuple[bool, float]:
+        floor = queue.record.floor
+        if floor and queue.decayed_tokens(now) < floor * total:
+            return (False, queue.decayed_tokens(now) / floor)
+        return (True, queue.virtual_time)
+
+    def is_starving(self, class_id: ClassId, now: float, starvation_s: float) -> bool:
         """Tell whether the class has had demand but no slot for so long."""
-        since = self._lines[class_id].hungry_since
-        return since is not None and now - since > patience_s
+        since = self._queues[class_id].unserved_since
+        return since is not None and now - since > starvation_s
 
-    def starving_head(self, now: float, patience_s: float) -> Ticket | None:
+    def starving_head(self, now: float, starvation_s: float) -> Ticket | None:
         """Return a ticket of the class that has starved for longest, if any has."""
-        lines = [
-            line
-            for class_id, line in self._lines.items()
-            if line.waiting
-            and not line.record.urgent
-            and self.is_starving(class_id, now, patience_s)
+        queues = [
+            queue
+            for class_id, queue in self._queues.items()
+            if queue.waiting
+            and not queue.record.urgent
+            and self.is_starving(class_id, now, starvation_s)
         ]
-        if not lines:
+        if not queues:
             return None
-        return min(lines, key=lambda line: line.hungry_since).next_team().tickets[0]
+        return (
+            min(queues, key=lambda queue: queue.unserved_since).next_team().tickets[0]
+        )
 
     def charge(
         self, class_id: ClassId, team_id: TeamId, tokens: float, now: float
     ) -> None:
         """Charge tokens, which may be negative to correct an estimate."""
-        line = self._lines.get(class_id)
-        if line is None:
+        queue = self._queues.get(class_id)
+        if queue is None:
             return
-        line.virtual += tokens / line.record.weight
-        line.recent_tokens = max(0.0, line.decayed(now) + tokens)
-        line.recent_at = now
-        team = line.teams.get(team_id)
+        queue.virtual_time += tokens / queue.record.weight
+        queue.recent_tokens = max(0.0, queue.decayed_tokens(now) + tokens)
+        queue.recent_at = now
+        team = queue.teams.get(team_id)
         if team is not None:
-            team.virtual += tokens / team.share
+            team.virtual_time += tokens / team.share
 
-    def mark_served(self, class_id: ClassId) -> None:
+    def record_slot(self, class_id: ClassId) -> None:
         """Note that the class got a slot."""
-        self._lines[class_id].hungry_since = None
+        self._queues[class_id].unserved_since = None
 
     def waiting(self, class_id: ClassId) -> int:
         """Return how many tickets of the class wait."""
-        return self._lines[class_id].waiting
+        return self._queues[class_id].waiting
 
     def tickets_ahead(self, ticket: Ticket) -> tuple[int, float]:
         """Return what a new ticket of this class and team would wait behind.
@@ -282,25 +288,25 @@
         -------
         ahead : int
             Tickets of the same class and team that are waiting.
-        part : float
-            The part of the service of non-urgent work that this team can
+        fraction : float
+            The fraction of the service of non-urgent work that this team can
             count on while everyone now waiting goes on waiting.
         """
-        line = self._lines[ticket.service_class]
-        team = line.teams.get(ticket.team)
+        queue = self._queues[ticket.service_class]
+        team = queue.teams.get(ticket.team)
         ahead = len(team.tickets) if team else 0
         weights = sum(
             each.record.weight
-            for each in self._lines.values()
-            if not each.record.urgent and (each.waiting or each is line)
+            for each in self._queues.values()
+            if not each.record.urgent and (each.waiting or each is queue)
         )
-        own_share = self.share_of(ticket.team)
-        shares = own_share + sum(
-            each.share for name, each in line.backlogged() if name != ticket.team
+        team_share = self.share_of(ticket.team)
+        shares = team_share + sum(
+            each.share for name, each in queue.backlogged() if name != ticket.team
         )
-        class_part = max(line.record.weight / weights, line.record.floor)
-        return ahead, class_part * own_share / shares
+        class_fraction = max(queue.record.weight / weights, queue.record.floor)
+        return ahead, class_fraction * team_share / shares
 
     def waiting_by_class(self) -> dict[ClassId, int]:
         """Return the number waiting for each class."""
-        return {class_id: line.waiting for class_id, line in self._lines.items()}
+        return {class_id: queue.waiting for class_id, queue in self._queues.items()}
--- a/packages/buckthornwall/src/buckthornwall/scheduling/slot_table.py
+++ b/packages/buckthornwall/src/buckthornwall/scheduling/slot_table.py
@@ -17,13 +17,13 @@
     ----------
     in_use : collections.Counter
         Slots by class.
-    fair_in_use : int
+    non_urgent_in_use : int
         Slots of work that is not urgent.
     """
 
     def __init__(self) -> None:
         self.in_use: Counter[ClassId] = Counter()
-        self.fair_in_use = 0
+        self.non_urgent_in_use = 0
         self._slots: dict[GrantId, tuple[EngineState, Slot]] = {}
         self._granted: dict[RequestId, GrantDecision] = {}
 
@@ -47,14 +47,14 @@
         """Return the slots that an instance holds."""
         return [slot for _, slot in self._slots.values() if slot.node == node]
 
-    def start(self, engine: EngineState, slot: Slot) -> None:
+    def occupy(self, engine: EngineState, slot: Slot) -> None:
         """Take a slot of an engine."""
         engine.running[slot.grant] = slot
         self._slots[slot.grant] = (engine, slot)
-        self.fair_in_use += not slot.urgent
+        self.non_urgent_in_use += not slot.urgent
         self.in_use[slot.service_class] += 1
 
-    def end(self, grant: GrantId) -> tuple[EngineState, Slot] | None:
+    def free(self, grant: GrantId) -> tuple[EngineState, Slot] | None:
         """Give a slot back; return its engine and itself, if it was in use."""
         found = self._slots.pop(grant, None)
         if found is None:
@@ -62,13 +62,13 @@
         engine, slot = found
         engine.running.pop(grant, None)
         self._granted.pop(slot.request, None)
-        self.fair_in_use -= not slot.urgent
+        self.non_urgent_in_use -= not slot.urgent
         self.in_use[slot.service_class] -= 1
         if not self.in_use[slot.service_class]:
             del self.in_use[slot.service_class]
         return found
 
-    def note_grant(self, decision: GrantDecision) -> None:
+    def record_grant(self, decision: GrantDecision) -> None:
         """Keep what was granted, for a request that is repeated."""
         self._granted[decision.ticket.request] = decision
 
@@ -82,4 +82,4 @@
         """Give back the slot of a request whose caller is gone."""
         decision = self._granted.pop(request, None)
         if decision is not None:
-            self.end(decision.grant)
+            self.free(decision.grant)
--- a/packages/buckthornwall/src/buckthornwall/scheduling/tests/test_scheduler.py
+++ b/packages/buckthornwall/src/buckthornwall/scheduling/tests/test_scheduler.py
@@ -29,7 +29,7 @@
     return PoolScheduler.from_config("m", view, lambda engine, now: engine in leaving)
 
 
-def ask(request, class_id, team="one", within_s=100.0, **fields):
+def enqueue_message(request, class_id, team="one", within_s=100.0, **fields):
     return Enqueue(
         request,
         "m",
@@ -45,15 +45,15 @@
 
 def enqueue(scheduler, count, class_id, now=0.0, first=0, **fields):
     for number in range(first, first + count):
-        scheduler.enqueue(NODE, ask(number, class_id, **fields), now)
+        scheduler.enqueue(NODE, enqueue_message(number, class_id, **fields), now)
 
 
 def granted(decisions):
     return [each for each in decisions if isinstance(each, GrantDecision)]
 
 
-def done(grant, tokens=10, pace_s=0.02):
-    return Release(grant, ReleaseKind.DONE, tokens, 0.1, pace_s)
+def release_done(grant, tokens=10, inter_token_s=0.02):
+    return Release(grant, ReleaseKind.DONE, tokens, 0.1, inter_token_s)
 
 
 def test_lower_tiers_leave_the_reserve_to_urgent_work(scheduler):
@@ -71,7 +71,7 @@
     enqueue(scheduler, 5, "urgent", first=100)
     scheduler.decide(0.0)
     for each in running[:3]:
-        scheduler.release(done(each.grant), 1.0)
+        scheduler.release(release_done(each.grant), 1.0)
         assert [d.ticket.service_class for d in granted(scheduler.decide(1.0))] == [
             "urgent"
         ]
@@ -80,7 +80,9 @@
 def test_urgent_work_is_never_refused_early(scheduler):
     enqueue(scheduler, 20, "urgent")
     scheduler.decide(0.0)
-    assert scheduler.enqueue(NODE, ask(99, "urgent", within_s=0.01), 0.0) == []
+    assert (
+        scheduler.enqueue(NODE, enqueue_message(99, "urgent", within_s=0.01), 0.0) == []
+    )
 
 
 def serve_all(scheduler, rounds, tokens=10):
@@ -89,7 +91,7 @@
     running = granted(scheduler.decide(0.0))
     for step in range(rounds):
         now = 0.1 * step
-        scheduler.release(done(running.pop(0).grant, tokens), now)
+        scheduler.release(release_done(running.pop(0).grant, tokens), now)
         fresh = granted(scheduler.decide(now))
         order += [(d.ticket.service_class, d.ticket.team) for d in fresh]
         running += fresh
@@ -130,27 +132,36 @@
 def test_a_starving_class_gets_a_slot_in_spite_of_urgent_demand(scheduler):
     enqueue(scheduler, 100, "urgent")
     running = granted(scheduler.decide(0.0))
-    scheduler.enqueue(NODE, ask(500, "low"), 0.0)
-    late = STARVATION_S + 1
-    scheduler.release(done(running[0].grant), late)
-    assert granted(scheduler.decide(late))[0].ticket.service_class == "low"
-    scheduler.release(done(running[1].grant), late)
-    assert granted(scheduler.decide(late))[0].ticket.service_class == "urgent"
+    scheduler.enqueue(NODE, enqueue_message(500, "low"), 0.0)
+    after_starvation = STARVATION_S + 1
+    scheduler.release(release_done(running[0].grant), after_starvation)
+    assert granted(scheduler.decide(after_starvation))[0].ticket.service_class == "low"
+    scheduler.release(release_done(running[1].grant), after_starvation)
+    assert (
+        granted(scheduler.decide(after_starvation))[0].ticket.service_class == "urgent"
+    )
 
 
 def test_a_starving_class_may_queue_though_its_wait_is_predicted_too_long(scheduler):
     enqueue(scheduler, 100, "urgent")
     scheduler.decide(0.0)
-    refused = scheduler.enqueue(NODE, ask(500, "low", within_s=0.5), 0.0)
+    refused = scheduler.enqueue(NODE, enqueue_message(500, "low", within_s=0.5), 0.0)
     assert refused[0].code is ResultCode.OVERLOADED
-    late = STARVATION_S + 1
-    assert scheduler.enqueue(NODE, ask(501, "low", within_s=0.5), late) == []
+    after_starvation = STARVATION_S + 1
+    assert (
+        scheduler.enqueue(
+            NODE, enqueue_message(501, "low", within_s=0.5), after_starvation
+        )
+        == []
+    )
 
 
 def test_what_cannot_start_in_time_is_refused_at_once_with_a_time(scheduler):
     enqueue(scheduler, 60, "routine")
     scheduler.decide(0.0)
-    refusal = scheduler.enqueue(NODE, ask(99, "routine", within_s=1.0), 0.0)[0]
+    refusal = scheduler.enqueue(
+        NODE, enqueue_message(99, "routine", within_s=1.0), 0.0
+    )[0]
     assert isinstance(refusal, RefusalDecision)
     assert refusal.code is ResultCode.OVERLOADED
     assert refusal.retry_after_s >= 1
@@ -159,7 +170,7 @@
 def test_a_deadline_that_passes_gives_the_final_answer_at_once(scheduler):
     enqueue(scheduler, FAIR_SLOTS, "routine")
     scheduler.decide(0.0)
-    scheduler.enqueue(NODE, ask(99, "routine", within_s=5.0), 0.0)
+    scheduler.enqueue(NODE, enqueue_message(99, "routine", within_s=5.0), 0.0)
     assert scheduler.decide(4.9) == []
     refusal = scheduler.decide(5.1)[0]
     assert refusal.code is ResultCode.START_DEADLINE
@@ -168,7 +179,7 @@
 def test_urgent_work_that_is_overdue_takes_slots_from_the_lowest_tier(scheduler):
     for number in range(FAIR_SLOTS):
         class_id = "low" if number < 2 else "routine"
-        message = ask(number, class_id, preemptible=True)
+        message = enqueue_message(number, class_id, preemptible=True)
         scheduler.enqueue(NODE, message, 0.0)
     running = {d.grant: d.ticket for d in granted(scheduler.decide(0.0))}
     enqueue(scheduler, TOTAL_SLOTS - FAIR_SLOTS + 3, "urgent", now=1.0, first=100)
@@ -195,9 +206,9 @@
 
 
 def test_a_repeated_request_gets_the_same_grant(scheduler):
-    scheduler.enqueue(NODE, ask(1, "urgent"), 0.0)
+    scheduler.enqueue(NODE, enqueue_message(1, "urgent"), 0.0)
     first = granted(scheduler.decide(0.0))[0]
-    again = scheduler.enqueue(NODE, ask(1, "urgent"), 0.1)
+    again = scheduler.enqueue(NODE, enqueue_message(1, "urgent"), 0.1)
     assert [each.grant for each in again] == [first.grant]
     assert scheduler.decide(0.1) == []
 
@@ -209,22 +220,24 @@
 
 
 def test_an_engine_that_failed_rests_and_the_request_goes_elsewhere(scheduler):
-    scheduler.enqueue(NODE, ask(1, "urgent"), 0.0)
+    scheduler.enqueue(NODE, enqueue_message(1, "urgent"), 0.0)
     first = granted(scheduler.decide(0.0))[0]
     scheduler.release(Release(first.grant, ReleaseKind.FAILED), 0.1)
-    scheduler.enqueue(NODE, ask(2, "urgent", excluded=[first.engine]), 0.1)
+    scheduler.enqueue(NODE, enqueue_message(2, "urgent", excluded=[first.engine]), 0.1)
     assert granted(scheduler.decide(0.1))[0].engine != first.engine
 
 
 def test_a_slow_engine_is_learned_and_used_last(scheduler):
     for step in range(40):
         now = float(step)
-        scheduler.enqueue(NODE, ask(step, "urgent"), now)
+        scheduler.enqueue(NODE, enqueue_message(step, "urgent"), now)
         grant = granted(scheduler.decide(now))[0]
-        pace_s = 0.2 if grant.engine == "e1" else 0.02
-        scheduler.release(done(grant.grant, pace_s=pace_s), now + 0.5)
+        inter_token_s = 0.2 if grant.engine == "e1" else 0.02
+        scheduler.release(
+            release_done(grant.grant, inter_token_s=inter_token_s), now + 0.5
+        )
     assert scheduler.engines["e1"].limit < scheduler.engines["e2"].limit
-    scheduler.enqueue(NODE, ask(99, "urgent"), 50.0)
+    scheduler.enqueue(NODE, enqueue_message(99, "urgent"), 50.0)
     assert granted(scheduler.decide(50.0))[0].engine == "e2"
 
 
@@ -232,7 +245,7 @@
     scheduler.engines["e2"].remember_prefix(42)
     scheduler.engines["e1"].inter_token_s = scheduler.engines["e2"].inter_token_s = 0.02
     for number in range(TOTAL_SLOTS):
-        message = ask(number, "urgent")
+        message = enqueue_message(number, "urgent")
         message.prefix = 42
         scheduler.enqueue(NODE, message, 0.0)
     engines = [each.engine for each in granted(scheduler.decide(0.0))]
@@ -251,12 +264,12 @@
     scheduler.reconcile_slots("n2", held, 0.0)
     enqueue(scheduler, 20, "urgent")
     assert {each.engine for each in granted(scheduler.decide(0.0))} == {"e2"}
-    scheduler.forget_node("n2")
+    scheduler.remove_node("n2")
     assert len(granted(scheduler.decide(0.0))) == 4
 
 
 def test_a_slot_whose_release_was_lost_comes_back(scheduler):
-    scheduler.enqueue(NODE, ask(1, "urgent"), 0.0)
+    scheduler.enqueue(NODE, enqueue_message(1, "urgent"), 0.0)
     grant = granted(scheduler.decide(0.0))[0].grant
     scheduler.reconcile_slots(
         NODE, [ReportedSlot(grant, "e1", "urgent", "one", 3)], 1.0
@@ -271,7 +284,7 @@
     scheduler.decide(0.0)
     scheduler.withdraw(0)
     assert not scheduler.slots
-    scheduler.enqueue(NODE, ask(7, "low"), 0.0)
+    scheduler.enqueue(NODE, enqueue_message(7, "low"), 0.0)
     scheduler.withdraw(7)
     assert len(scheduler.queue) == 0
 
@@ -279,7 +292,7 @@
 def test_a_deleted_class_refuses_what_waits_in_it(scheduler):
     enqueue(scheduler, FAIR_SLOTS, "routine")
     scheduler.decide(0.0)
-    scheduler.enqueue(NODE, ask(50, "low"), 0.0)
+    scheduler.enqueue(NODE, enqueue_message(50, "low"), 0.0)
     records = make_records(2, one={"classes": ["urgent", "routine"]})
     records["records"] = [r for r in records["records"] if r["id"] != "low"]
     refusals = scheduler.set_records(parse_records(encode(records)))
