--- a/packages/buckthornwall-standins/src/buckthornwall_standins/users_platform/cold.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/users_platform/cold.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass, field
 
 import trio
-from buckthornwall.http1 import Answer, IncomingRequest
+from buckthornwall.http1 import IncomingRequest, ResponseWriter
 
 from .ending import EndingUpstream
 from .wire import PREFIX
@@ -39,7 +39,7 @@
         self.cold_until = trio.current_time() + seconds
         self._recent.clear()
 
-    async def _handle(self, incoming: IncomingRequest, answer: Answer) -> None:
+    async def _handle(self, incoming: IncomingRequest, answer: ResponseWriter) -> None:
         expected = dict(incoming.headers).get(EXPECTED, self.id.encode())
         if expected == self.id.encode():
             self._count(trio.current_time())
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/users_platform/crashing.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/users_platform/crashing.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 
 import trio
-from buckthornwall.http1 import Answer, IncomingRequest
+from buckthornwall.http1 import IncomingRequest, ResponseWriter
 
 from .ending import EndingUpstream
 from .wire import PREFIX
@@ -31,7 +31,7 @@
     crash_s: float = 0.09
     crashed_by: bytes = b""
 
-    async def _handle(self, incoming: IncomingRequest, answer: Answer) -> None:
+    async def _handle(self, incoming: IncomingRequest, answer: ResponseWriter) -> None:
         found = dict(incoming.headers)
         expected = found.get(EXPECTED, self.id.encode())
         if CRASHING not in incoming.body or expected != self.id.encode():
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/users_platform/engine.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/users_platform/engine.py
@@ -7,7 +7,12 @@
 from dataclasses import dataclass, field
 
 import trio
-from buckthornwall.http1 import Answer, HttpServer, IncomingRequest, ServerLimits
+from buckthornwall.http1 import (
+    HttpServer,
+    IncomingRequest,
+    ResponseWriter,
+    ServerLimits,
+)
 from buckthornwall.utils import TrioClock
 
 from .wire import PREFIX, reply_headers
@@ -78,7 +83,7 @@
                 self.cached.update(prompt.segments)
                 prompt.is_prefilled.set()
 
-    async def _handle(self, incoming: IncomingRequest, answer: Answer) -> None:
+    async def _handle(self, incoming: IncomingRequest, answer: ResponseWriter) -> None:
         found = dict(incoming.headers)
         rank = int(found.get(b"x-buckthornwall-request-priority", NO_PRIORITY))
         async with self._wait(rank, _segments(found)) as prompt:
@@ -105,7 +110,7 @@
         finally:
             prompt.is_left = True
 
-    async def _stream(self, found: dict[bytes, bytes], answer: Answer) -> None:
+    async def _stream(self, found: dict[bytes, bytes], answer: ResponseWriter) -> None:
         request = found[b"x-buckthornwall-attempt-id"]
         events = int(found[b"x-buckthornwall-token-count"].partition(b",")[2])
         headers = [
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/users_platform/store.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/users_platform/store.py
@@ -8,7 +8,12 @@
 
 import msgspec
 import trio
-from buckthornwall.http1 import Answer, HttpServer, IncomingRequest, ServerLimits
+from buckthornwall.http1 import (
+    HttpServer,
+    IncomingRequest,
+    ResponseWriter,
+    ServerLimits,
+)
 from buckthornwall.utils import TrioClock
 
 __all__ = ["Store", "StoreFault"]
@@ -90,7 +95,7 @@
         server = HttpServer(TrioClock(), lambda: LIMITS, self._handle)
         await server.run(address, task_status=task_status)
 
-    async def _handle(self, incoming: IncomingRequest, answer: Answer) -> None:
+    async def _handle(self, incoming: IncomingRequest, answer: ResponseWriter) -> None:
         self.calls += 1
         caller = answer.connection.sock.getpeername()[0]
         fault = self.faults.get(caller, self.faults.get("", StoreFault.NONE))
@@ -101,7 +106,7 @@
             return  # an answer that never began closes its connection
         elif fault is not StoreFault.NONE:
             status = 503 if fault is StoreFault.BUSY else 429
-            await answer.whole(status, JSON, b"{}")
+            await answer.send_complete(status, JSON, b"{}")
             return
         target = urlsplit(incoming.target.decode())
         query = {key: values[0] for key, values in parse_qs(target.query).items()}
@@ -111,7 +116,7 @@
             status, body = await self.watch(query)
         else:
             status, body = 404, {"error": "no such call"}
-        await answer.whole(status, JSON, msgspec.json.encode(body))
+        await answer.send_complete(status, JSON, msgspec.json.encode(body))
 
     def range(self, query: dict[str, str]) -> dict[str, Any]:
         """Return a page of items, as the body of an answer."""
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/users_platform/upstream.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/users_platform/upstream.py
@@ -6,7 +6,12 @@
 from dataclasses import dataclass, field
 
 import trio
-from buckthornwall.http1 import Answer, HttpServer, IncomingRequest, ServerLimits
+from buckthornwall.http1 import (
+    HttpServer,
+    IncomingRequest,
+    ResponseWriter,
+    ServerLimits,
+)
 from buckthornwall.utils import TrioClock
 
 from .wire import PREFIX, reply_headers
@@ -60,7 +65,7 @@
         server = HttpServer(TrioClock(), lambda: LIMITS, self._handle)
         await server.run(address, task_status=task_status)
 
-    async def _handle(self, incoming: IncomingRequest, answer: Answer) -> None:
+    async def _handle(self, incoming: IncomingRequest, answer: ResponseWriter) -> None:
         found = dict(incoming.headers)
         self.seen.append(found)
         request_id = found.get(b"x-buckthornwall-attempt-id", b"")
@@ -69,11 +74,13 @@
             common.append((b"Server-Limit", self.rate_limit.encode()))
         expected = found.get(b"x-buckthornwall-expect-instance", self.id.encode())
         if expected != self.id.encode():
-            await answer.whole(421, common, b"")
+            await answer.send_complete(421, common, b"")
             return
         self.on_arrival(request_id.decode())
         if self.sheds:
-            await answer.whole(503, [*common, (PREFIX + b"Not-Executed", b"1")], b"")
+            await answer.send_complete(
+                503, [*common, (PREFIX + b"Not-Executed", b"1")], b""
+            )
             return
         self.runs[request_id.decode()] += 1
         if incoming.target.startswith(ONCE):
@@ -85,14 +92,14 @@
             if b"x-buckthornwall-token-count" in found:
                 await self._stream(found, answer, signed)
             else:
-                await answer.whole(200, signed, b"answer-to-" + request_id)
+                await answer.send_complete(200, signed, b"answer-to-" + request_id)
         finally:
             self.running -= 1
 
     async def _stream(
         self,
         found: dict[bytes, bytes],
-        answer: Answer,
+        answer: ResponseWriter,
         headers: list[tuple[bytes, bytes]],
     ) -> None:
         first = int(found.get(b"last-event-id", b"0")) + 1
--- a/packages/buckthornwall/src/buckthornwall/forwarding/attempt.py
+++ b/packages/buckthornwall/src/buckthornwall/forwarding/attempt.py
@@ -181,7 +181,7 @@
             reply = self.codec.decode(await connection.receive_head())
             if reply.request_id in ("", self.request.id):
                 return reply
-            await connection.skip_reply()
+            await connection.skip_response()
         raise ExchangeError(ExchangeFailure.GARBLED, "replies to other requests")
 
     async def _handle_reply(
--- a/packages/buckthornwall/src/buckthornwall/forwarding/connections.py
+++ b/packages/buckthornwall/src/buckthornwall/forwarding/connections.py
@@ -56,7 +56,7 @@
         now = self.clock.now()
         while idle:
             connection = idle.pop()
-            if now - connection.idle_since <= limit_s and connection.is_sound():
+            if now - connection.idle_since <= limit_s and connection.is_healthy():
                 return self._check_out(upstream, connection)
             connection.close()
         self.opened += 1
--- a/packages/buckthornwall/src/buckthornwall/forwarding/delivery.py
+++ b/packages/buckthornwall/src/buckthornwall/forwarding/delivery.py
@@ -1,6 +1,6 @@
 """The response that the client of a request has received so far."""
 
-from buckthornwall.http1 import Answer
+from buckthornwall.http1 import ResponseWriter
 from buckthornwall.utils import Clock
 
 from .events import EventJoiner
@@ -25,7 +25,7 @@
         Id of the last event that the client has from an earlier request.
     """
 
-    def __init__(self, answer: Answer, clock: Clock, resume_after: str) -> None:
+    def __init__(self, answer: ResponseWriter, clock: Clock, resume_after: str) -> None:
         self.answer = answer
         self.clock = clock
         self.joiner = EventJoiner(resume_after)
@@ -44,7 +44,7 @@
         """Send a complete reply to the client."""
         self.first_sent_at = self.clock.now()
         self.status = reply.status
-        await self.answer.whole(reply.status, reply.headers, body)
+        await self.answer.send_complete(reply.status, reply.headers, body)
         self.done = True
 
     async def send_events(self, reply: Reply, data: bytes) -> int:
--- a/packages/buckthornwall/src/buckthornwall/forwarding/forwarder.py
+++ b/packages/buckthornwall/src/buckthornwall/forwarding/forwarder.py
@@ -5,7 +5,7 @@
 import trio
 
 from buckthornwall.codes import Refusal, ResultCode, Run
-from buckthornwall.http1 import Answer, AnswerCut
+from buckthornwall.http1 import ResponseAborted, ResponseWriter
 from buckthornwall.pools import (
     Choice,
     PoolTable,
@@ -138,12 +138,12 @@
         self.crash_guard = CrashGuard(quarantine, pools, self.liveness, clock)
         self.limit_gate = LimitGate(pools, clock, self._choose)
 
-    async def forward(self, request: RoutedRequest, answer: Answer) -> None:
+    async def forward(self, request: RoutedRequest, answer: ResponseWriter) -> None:
         """Send a client the response to its request.
 
         Raises
         ------
-        AnswerCut
+        ResponseAborted
             If the response began and cannot be completed.
         """
         try:
@@ -166,7 +166,7 @@
         )
         try:
             await self._answer(job, answer)
-        except (AnswerCut, trio.Cancelled):
+        except (ResponseAborted, trio.Cancelled):
             self.telemetry.record_end(
                 job, "cut" if job.delivery.started else "caller_gone"
             )
@@ -177,18 +177,20 @@
         self.connections.forget(upstream)
         self.liveness.forget(upstream)
 
-    async def refuse_unreadable(self, answer: Answer, refusal: Refusal) -> None:
+    async def refuse_unreadable(self, answer: ResponseWriter, refusal: Refusal) -> None:
         """Refuse a request that could not be decoded."""
         await self._refuse("", None, answer, refusal)
 
-    async def refuse_draining(self, request: RoutedRequest, answer: Answer) -> None:
+    async def refuse_draining(
+        self, request: RoutedRequest, answer: ResponseWriter
+    ) -> None:
         """Refuse a request while draining, so that the client retries elsewhere."""
         refusal = Refusal(
             ResultCode.NOT_READY, "leaving", retry_after_s=DRAINING_RETRY_S
         )
         await self._refuse(request.id, None, answer, refusal)
 
-    async def _answer(self, job: Job, answer: Answer) -> None:
+    async def _answer(self, job: Job, answer: ResponseWriter) -> None:
         with trio.CancelScope(deadline=job.deadline) as scope:
             refusal = await self._run_attempts(job)
         if scope.cancelled_caught:
@@ -198,7 +200,7 @@
         if job.delivery.done:
             self.telemetry.record_end(job, "answered")
         elif job.delivery.started:
-            raise AnswerCut(job.detail)
+            raise ResponseAborted(job.detail)
         elif job.last_failed is not None:
             await job.delivery.send_complete(
                 job.last_failed.reply, job.last_failed.body
@@ -390,7 +392,7 @@
         return refusal
 
     async def _refuse(
-        self, request_id: str, job: Job | None, answer: Answer, refusal: Refusal
+        self, request_id: str, job: Job | None, answer: ResponseWriter, refusal: Refusal
     ) -> None:
         """Send the refusal of a request as its response."""
         status = refusal.code.status
@@ -405,4 +407,4 @@
             "run": refusal.run.value,
         }
         self.telemetry.record_refusal(request_id, job, refusal, status)
-        await answer.whole(status, headers, json.dumps(body).encode())
+        await answer.send_complete(status, headers, json.dumps(body).encode())
--- a/packages/buckthornwall/src/buckthornwall/forwarding/reply.py
+++ b/packages/buckthornwall/src/buckthornwall/forwarding/reply.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from buckthornwall.http1 import ReplyHead
+from buckthornwall.http1 import ResponseHead
 from buckthornwall.pools import LoadReport, UpstreamEntry
 from buckthornwall.routing import RoutedRequest
 from buckthornwall.utils import TeamId
@@ -69,5 +69,5 @@
     def encode(self, request: RoutedRequest, context: AttemptContext) -> Headers:
         """Return the headers of a request to an upstream."""
 
-    def decode(self, head: ReplyHead) -> Reply:
+    def decode(self, head: ResponseHead) -> Reply:
         """Return an upstream's reply from its head."""
--- a/packages/buckthornwall/src/buckthornwall/forwarding/tests/helpers.py
+++ b/packages/buckthornwall/src/buckthornwall/forwarding/tests/helpers.py
@@ -70,7 +70,7 @@
         self.body = b""
         self.headers = {}
 
-    async def whole(self, status, headers, body):
+    async def send_complete(self, status, headers, body):
         self.started = self.ended = True
         self.status, self.headers, self.body = status, dict(headers), body
 
--- a/packages/buckthornwall/src/buckthornwall/forwarding/tests/test_streams.py
+++ b/packages/buckthornwall/src/buckthornwall/forwarding/tests/test_streams.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from buckthornwall.http1 import AnswerCut
+from buckthornwall.http1 import ResponseAborted
 from buckthornwall.routing import (
     ResponseMode,
 )
@@ -76,7 +76,7 @@
 
 
 async def test_broken_stream_that_is_not_resumable_is_cut_visibly(forward):
-    with pytest.raises(AnswerCut):
+    with pytest.raises(ResponseAborted):
         await forward(
             [stream(1, end=False), b""],
             [stream(2)],
--- a/packages/buckthornwall/src/buckthornwall/http1/__init__.py
+++ b/packages/buckthornwall/src/buckthornwall/http1/__init__.py
@@ -7,18 +7,24 @@
 ============= ============================================================
 """
 
-from .client import ClientConnection, ReplyHead
+from .client import ClientConnection, ResponseHead
 from .failures import ExchangeError, ExchangeFailure
-from .server import Answer, AnswerCut, HttpServer, IncomingRequest, ServerLimits
+from .server import (
+    HttpServer,
+    IncomingRequest,
+    ResponseAborted,
+    ResponseWriter,
+    ServerLimits,
+)
 
 __all__ = [
-    "Answer",
-    "AnswerCut",
+    "ResponseWriter",
+    "ResponseAborted",
     "ClientConnection",
     "ExchangeError",
     "ExchangeFailure",
     "HttpServer",
     "IncomingRequest",
-    "ReplyHead",
+    "ResponseHead",
     "ServerLimits",
 ]
--- a/packages/buckthornwall/src/buckthornwall/http1/client.py
+++ b/packages/buckthornwall/src/buckthornwall/http1/client.py
@@ -9,7 +9,7 @@
 
 from .failures import ExchangeError, ExchangeFailure
 
-__all__ = ["ClientConnection", "ReplyHead"]
+__all__ = ["ClientConnection", "ResponseHead"]
 
 RECEIVE_BYTES = 65_536
 MAX_HEAD_BYTES = 65_536
@@ -24,7 +24,7 @@
 
 
 @dataclass(slots=True)
-class ReplyHead:
+class ResponseHead:
     """Status and headers of a reply; names are in lower case."""
 
     status: int
@@ -92,7 +92,7 @@
         self.closed = True
         self.sock.close()
 
-    def is_sound(self) -> bool:
+    def is_healthy(self) -> bool:
         """Tell whether an idle connection can take another exchange.
 
         Anything to read before a request was sent, be it an end or bytes,
@@ -127,7 +127,7 @@
             data += self.parser.send(h11.Data(data=self._body))
         return data + self.parser.send(h11.EndOfMessage())
 
-    async def receive_head(self) -> ReplyHead:
+    async def receive_head(self) -> ResponseHead:
         """Return the head of the reply, past any informational ones.
 
         Raises
@@ -138,7 +138,7 @@
         while True:
             event = await self._next_event()
             if isinstance(event, h11.Response):
-                return ReplyHead(event.status_code, list(event.headers))
+                return ResponseHead(event.status_code, list(event.headers))
             if not isinstance(event, h11.InformationalResponse):
                 raise ExchangeError(ExchangeFailure.ENDED, "before a reply")
 
@@ -157,7 +157,7 @@
             if isinstance(event, h11.EndOfMessage):
                 return b""
 
-    async def skip_reply(self) -> None:
+    async def skip_response(self) -> None:
         """Read a foreign reply to its end, and expect another one after it.
 
         Raises
--- a/packages/buckthornwall/src/buckthornwall/http1/server.py
+++ b/packages/buckthornwall/src/buckthornwall/http1/server.py
@@ -11,19 +11,25 @@
 from buckthornwall.telemetry import log_event
 from buckthornwall.utils import Clock
 
-__all__ = ["Answer", "AnswerCut", "HttpServer", "IncomingRequest", "ServerLimits"]
+__all__ = [
+    "ResponseWriter",
+    "ResponseAborted",
+    "HttpServer",
+    "IncomingRequest",
+    "ServerLimits",
+]
 
 BACKLOG = 1024
 RECEIVE_BYTES = 65_536
 HEAD_END = b"\r\n\r\n"
 # What a caller may send ahead of an answer before it is no longer read.
-MAX_AHEAD_BYTES = 65_536
+MAX_PIPELINED_BYTES = 65_536
 # After an early refusal the rest of a body is read this long, so that the
 # refusal is not lost with a reset of the connection.
 LINGER_S = 0.5
 
 
-class AnswerCut(Exception):
+class ResponseAborted(Exception):
     """An answer that began cannot be completed; its connection must close."""
 
 
@@ -62,19 +68,19 @@
     """The caller closed, or fell silent between two requests."""
 
 
-Handler = Callable[[IncomingRequest, "Answer"], Awaitable[None]]
+Handler = Callable[[IncomingRequest, "ResponseWriter"], Awaitable[None]]
 
 
-class Answer:
+class ResponseWriter:
     """The answer to one request, whole or piece by piece."""
 
-    def __init__(self, connection: "CallerConnection", parser: h11.Connection) -> None:
+    def __init__(self, connection: "ServerConnection", parser: h11.Connection) -> None:
         self.connection = connection
         self.parser = parser
         self.started = False
         self.ended = False
 
-    async def whole(
+    async def send_complete(
         self, status: int, headers: list[tuple[bytes, bytes]], body: bytes
     ) -> None:
         """Send a whole answer in one write."""
@@ -114,31 +120,31 @@
         return self.parser.send(h11.Response(status_code=status, headers=headers))
 
 
-class CallerConnection:
+class ServerConnection:
     """One caller's connection: requests are read and answered in turn."""
 
     def __init__(self, server: "HttpServer", sock: trio.socket.SocketType) -> None:
         self.server = server
         self.sock = sock
-        self.ahead = bytearray()
+        self.unparsed = bytearray()
         self.ended = False
         self.idle_scope: trio.CancelScope | None = None
 
     async def write(self, data: bytes) -> None:
-        """Send all of `data`; raise AnswerCut if the caller is gone."""
+        """Send all of `data`; raise ResponseAborted if the caller is gone."""
         view = memoryview(data)
         try:
             while view:
                 view = view[await self.sock.send(view) :]
         except OSError as error:
-            raise AnswerCut(str(error)) from error
+            raise ResponseAborted(str(error)) from error
 
     async def run(self) -> None:
         """Serve until the caller, a limit or a planned stop ends it."""
         try:
             while await self._serve_one():
                 pass
-        except (ConnectionEnded, AnswerCut, OSError):
+        except (ConnectionEnded, ResponseAborted, OSError):
             pass  # an everyday end, and nobody is left to be told
         finally:
             self.sock.close()
@@ -151,14 +157,14 @@
         except RequestRefused as refused:
             await self._refuse(parser, refused)
             return False
-        answer = Answer(self, parser)
+        answer = ResponseWriter(self, parser)
         gone = await self._handle(request, answer)
         if gone or not answer.ended:
             return False
-        self.ahead[:0] = parser.trailing_data[0]
+        self.unparsed[:0] = parser.trailing_data[0]
         return parser.our_state is h11.DONE and not self.server.closing
 
-    async def _handle(self, request: IncomingRequest, answer: Answer) -> bool:
+    async def _handle(self, request: IncomingRequest, answer: ResponseWriter) -> bool:
         """Run the handler; stop it when its caller leaves, and tell whether."""
         self.server.active += 1
         try:
@@ -166,7 +172,7 @@
                 nursery.start_soon(self._watch_caller, nursery.cancel_scope)
                 try:
                     await self.server.handler(request, answer)
-                except AnswerCut:
+                except ResponseAborted:
                     self.ended = True
                 nursery.cancel_scope.cancel()
         finally:
@@ -174,7 +180,7 @@
         return self.ended
 
     async def _watch_caller(self, scope: trio.CancelScope) -> None:
-        while len(self.ahead) < MAX_AHEAD_BYTES:
+        while len(self.unparsed) < MAX_PIPELINED_BYTES:
             try:
                 data = await self.sock.recv(RECEIVE_BYTES)
             except OSError:
@@ -183,11 +189,11 @@
                 self.ended = True
                 scope.cancel()
                 return
-            self.ahead += data
+            self.unparsed += data
 
     async def _await_first_bytes(self) -> None:
         """Wait for a request for as long as a caller may stay idle."""
-        if self.ahead:
+        if self.unparsed:
             return
         with trio.CancelScope() as scope:
             scope.deadline = trio.current_time() + self.server.limits().idle_timeout_s
@@ -204,7 +210,7 @@
         data = await self.sock.recv(RECEIVE_BYTES)
         if not data:
             raise ConnectionEnded
-        self.ahead += data
+        self.unparsed += data
 
     async def _read_request(self, parser: h11.Connection) -> IncomingRequest:
         limits = self.server.limits()
@@ -229,19 +235,19 @@
             event.method, event.target, list(event.headers), body, received_at
         )
 
-    async def _read_head(self, most: int) -> bytes:
+    async def _read_head(self, max_bytes: int) -> bytes:
         """Take one head from what was read, and no byte after it."""
         while True:
-            while self.ahead[:2] == b"\r\n":
-                del self.ahead[:2]
-            end = self.ahead.find(HEAD_END)
-            if end > most or (end < 0 and len(self.ahead) > most):
+            while self.unparsed[:2] == b"\r\n":
+                del self.unparsed[:2]
+            end = self.unparsed.find(HEAD_END)
+            if end > max_bytes or (end < 0 and len(self.unparsed) > max_bytes):
                 raise RequestRefused(431, ResultCode.HEAD_TOO_LARGE)
             if end >= 0:
                 break
             await self._receive()
-        head = bytes(self.ahead[: end + len(HEAD_END)])
-        del self.ahead[: len(head)]
+        head = bytes(self.unparsed[: end + len(HEAD_END)])
+        del self.unparsed[: len(head)]
         if head.count(b"\n") != head.count(b"\r\n") or head.count(b"\r") != head.count(
             b"\r\n"
         ):
@@ -289,13 +295,13 @@
                 await self._read_more(parser, limits)
 
     async def _read_more(self, parser: h11.Connection, limits: ServerLimits) -> None:
-        if not self.ahead:
+        if not self.unparsed:
             with trio.move_on_after(limits.idle_timeout_s) as scope:
                 await self._receive()
             if scope.cancelled_caught:
                 raise RequestRefused(408, ResultCode.BODY_TOO_SLOW)
-        parser.receive_data(bytes(self.ahead))
-        self.ahead.clear()
+        parser.receive_data(bytes(self.unparsed))
+        self.unparsed.clear()
 
     async def _refuse(self, parser: h11.Connection, refused: RequestRefused) -> None:
         """Answer what could not be read as a request, and close."""
@@ -340,20 +346,20 @@
         self.handler = handler
         self.active = 0
         self.closing = False
-        self.idle: set[CallerConnection] = set()
+        self.idle: set[ServerConnection] = set()
 
     async def run(
         self,
         address: str,
-        early: socket.socket | None = None,
+        bound_socket: socket.socket | None = None,
         *,
         task_status=trio.TASK_STATUS_IGNORED,
     ) -> None:
         """Listen at ``IP:port`` until cancelled, or serve a socket that does."""
-        if early is None:
+        if bound_socket is None:
             sock = await _listening_socket(address)
         else:
-            sock = trio.socket.from_stdlib_socket(early)
+            sock = trio.socket.from_stdlib_socket(bound_socket)
         listener = trio.SocketListener(sock)
         async with trio.open_nursery() as nursery:
             await trio.serve_listeners(
@@ -369,7 +375,7 @@
             connection.idle_scope.cancel()
 
     async def _accept(self, stream: trio.SocketStream) -> None:
-        connection = CallerConnection(self, stream.socket)
+        connection = ServerConnection(self, stream.socket)
         try:
             await connection.run()
         except Exception as error:
--- a/packages/buckthornwall/src/buckthornwall/http1/tests/test_client.py
+++ b/packages/buckthornwall/src/buckthornwall/http1/tests/test_client.py
@@ -24,7 +24,7 @@
     connection, head, body = await exchange(await raw_upstream(WHOLE, WHOLE))
     assert (head.status, body) == (200, b"ok")
     assert connection.is_reusable()
-    assert connection.is_sound()
+    assert connection.is_healthy()
 
 
 async def test_bytes_after_a_reply_belong_to_nobody(raw_upstream):
@@ -36,7 +36,7 @@
 async def test_bytes_on_an_idle_connection_make_it_unusable(raw_upstream):
     connection, _, _ = await exchange(await raw_upstream(WHOLE))
     await trio.sleep(0.05)  # the script is at its end, so the server closes
-    assert not connection.is_sound()
+    assert not connection.is_healthy()
 
 
 async def test_a_foreign_reply_is_skipped_and_the_own_one_read(raw_upstream):
@@ -46,7 +46,7 @@
     )
     await connection.send(b"GET", b"/", HEADERS, b"")
     await connection.receive_head()
-    await connection.skip_reply()
+    await connection.skip_response()
     await connection.receive_head()
     assert await connection.receive_data() == b"ok"
 
--- a/packages/buckthornwall/src/buckthornwall/http1/tests/test_server.py
+++ b/packages/buckthornwall/src/buckthornwall/http1/tests/test_server.py
@@ -7,7 +7,7 @@
 
 
 async def echo(request, answer):
-    await answer.whole(200, [(b"X-Target", request.target)], request.body)
+    await answer.send_complete(200, [(b"X-Target", request.target)], request.body)
 
 
 @pytest.mark.parametrize(
--- a/packages/buckthornwall/src/buckthornwall/peers/views.py
+++ b/packages/buckthornwall/src/buckthornwall/peers/views.py
@@ -4,10 +4,10 @@
 
 from buckthornwall.codes import PeerError, ResultCode
 from buckthornwall.http1 import (
-    Answer,
     ClientConnection,
     ExchangeError,
     IncomingRequest,
+    ResponseWriter,
 )
 
 from .messages import PeerView, decode, encode
@@ -58,7 +58,10 @@
 
 
 async def answer_view(
-    incoming: IncomingRequest, answer: Answer, view: PeerView, config_number: int
+    incoming: IncomingRequest,
+    answer: ResponseWriter,
+    view: PeerView,
+    config_number: int,
 ) -> None:
     """Answer a peer's request for the state in force here.
 
@@ -66,8 +69,8 @@
     """
     path, _, known_number = incoming.target.partition(b"number=")
     if not known_number.isdigit():
-        await answer.whole(404, [], b"")
+        await answer.send_complete(404, [], b"")
         return
     if int(known_number) >= config_number:
         view.published = b""
-    await answer.whole(200, CBOR, encode(view))
+    await answer.send_complete(200, CBOR, encode(view))
--- a/packages/buckthornwall/src/buckthornwall/platform/codec.py
+++ b/packages/buckthornwall/src/buckthornwall/platform/codec.py
@@ -4,7 +4,7 @@
 
 from buckthornwall.codes import Refusal, ResultCode
 from buckthornwall.forwarding import AttemptContext, Reply
-from buckthornwall.http1 import IncomingRequest, ReplyHead
+from buckthornwall.http1 import IncomingRequest, ResponseHead
 from buckthornwall.pools import LoadReport
 from buckthornwall.routing import PromptSegment, PromptShape, RoutedRequest
 from buckthornwall.utils import ModelId
@@ -127,7 +127,7 @@
             headers.append((b"content-length", b"%d" % len(request.body)))
         return headers
 
-    def decode(self, head: ReplyHead) -> Reply:
+    def decode(self, head: ResponseHead) -> Reply:
         """Return an upstream's response as the type of this project."""
         found = dict(head.headers)
         misdirected = head.status == HTTP_MISDIRECTED
--- a/packages/buckthornwall/src/buckthornwall/platform/store.py
+++ b/packages/buckthornwall/src/buckthornwall/platform/store.py
@@ -119,7 +119,7 @@
         connection, self._connection = self._connection, None
         try:
             with trio.fail_after(limit_s):
-                if connection is None or not connection.is_sound():
+                if connection is None or not connection.is_healthy():
                     connection = await self._connect(connection)
                 answer = await self._exchange(connection, target)
         except (ExchangeError, trio.TooSlowError) as error:
--- a/packages/buckthornwall/src/buckthornwall/platform/tests/test_wire.py
+++ b/packages/buckthornwall/src/buckthornwall/platform/tests/test_wire.py
@@ -6,7 +6,7 @@
 
 from buckthornwall.codes import RecordError, Refusal
 from buckthornwall.forwarding import AttemptContext
-from buckthornwall.http1 import IncomingRequest, ReplyHead
+from buckthornwall.http1 import IncomingRequest, ResponseHead
 from buckthornwall.platform import PlatformCodec, decode_published, decode_request
 from buckthornwall.pools import LoadReport, UpstreamEntry, UpstreamState
 from buckthornwall.routing import PoolId, ResponseMode
@@ -118,12 +118,12 @@
     ],
 )
 def test_only_documented_responses_mean_not_run(status, headers, not_run, good):
-    reply = PlatformCodec().decode(ReplyHead(status, headers))
+    reply = PlatformCodec().decode(ResponseHead(status, headers))
     assert (reply.not_run, reply.is_attested_success) == (not_run, good)
 
 
 def test_load_and_idle_timeout_are_read():
-    head = ReplyHead(
+    head = ResponseHead(
         200,
         [
             (PREFIX + b"engine-load", b"3,1,8"),
@@ -152,7 +152,7 @@
 )
 def test_rate_limit_of_an_upstream_is_decoded(value, limit):
     headers = [] if value is None else [(b"server-limit", value)]
-    assert PlatformCodec().decode(ReplyHead(200, headers)).rate_limit == limit
+    assert PlatformCodec().decode(ResponseHead(200, headers)).rate_limit == limit
 
 
 CONFIG = b"""{"version": 7, "later": 1, "routes": [
--- a/packages/buckthornwall/src/buckthornwall/router/core.py
+++ b/packages/buckthornwall/src/buckthornwall/router/core.py
@@ -5,7 +5,12 @@
 from buckthornwall.codes import Refusal
 from buckthornwall.discovery import DiscoveryAgent
 from buckthornwall.forwarding import Forwarder
-from buckthornwall.http1 import Answer, HttpServer, IncomingRequest, ServerLimits
+from buckthornwall.http1 import (
+    HttpServer,
+    IncomingRequest,
+    ResponseWriter,
+    ServerLimits,
+)
 from buckthornwall.peers import (
     Beacon,
     Digest,
@@ -252,7 +257,9 @@
             limits.idle_timeout_s,
         )
 
-    async def _handle_caller(self, incoming: IncomingRequest, answer: Answer) -> None:
+    async def _handle_caller(
+        self, incoming: IncomingRequest, answer: ResponseWriter
+    ) -> None:
         try:
             request = decode_request(incoming)
         except Refusal as refusal:
@@ -276,13 +283,17 @@
             await trio.sleep(CRASH_SYNC_POLL_S)
 
     async def _handle_readiness(
-        self, incoming: IncomingRequest, answer: Answer
+        self, incoming: IncomingRequest, answer: ResponseWriter
     ) -> None:
         status = 200 if self.state is PeerState.READY else 503
-        await answer.whole(status, [], b"")
+        await answer.send_complete(status, [], b"")
 
-    async def _handle_view(self, incoming: IncomingRequest, answer: Answer) -> None:
+    async def _handle_view(
+        self, incoming: IncomingRequest, answer: ResponseWriter
+    ) -> None:
         await answer_view(incoming, answer, self.state_sync.view(), self.table.number)
 
-    async def _handle_operator(self, incoming: IncomingRequest, answer: Answer) -> None:
+    async def _handle_operator(
+        self, incoming: IncomingRequest, answer: ResponseWriter
+    ) -> None:
         await answer_operator(self, incoming, answer)
--- a/packages/buckthornwall/src/buckthornwall/router/operators.py
+++ b/packages/buckthornwall/src/buckthornwall/router/operators.py
@@ -4,7 +4,7 @@
 import math
 from typing import TYPE_CHECKING, Any
 
-from buckthornwall.http1 import Answer, IncomingRequest
+from buckthornwall.http1 import IncomingRequest, ResponseWriter
 from buckthornwall.quarantine import format_fingerprint
 
 if TYPE_CHECKING:
@@ -17,7 +17,7 @@
 
 
 async def answer_operator(
-    router: "Router", incoming: IncomingRequest, answer: Answer
+    router: "Router", incoming: IncomingRequest, answer: ResponseWriter
 ) -> None:
     """Answer ``/metrics`` and ``/status``."""
     path = incoming.target.partition(b"?")[0]
@@ -26,12 +26,12 @@
         accept = dict(incoming.headers).get(b"accept", b"").decode("latin-1")
         body, headers = router.metrics.render(accept)
         pairs = [(name.encode(), value.encode()) for name, value in headers.items()]
-        await answer.whole(200, pairs, body)
+        await answer.send_complete(200, pairs, body)
     elif path == b"/status":
         body = json.dumps(describe_router(router)).encode()
-        await answer.whole(200, JSON, body)
+        await answer.send_complete(200, JSON, body)
     else:
-        await answer.whole(404, [], b"")
+        await answer.send_complete(404, [], b"")
 
 
 def _set_gauges(router: "Router") -> None:
--- a/packages/buckthornwall/src/buckthornwall/tests/test_start.py
+++ b/packages/buckthornwall/src/buckthornwall/tests/test_start.py
@@ -37,7 +37,7 @@
         caller.sendall(b"GET / HTTP/1.1\r\nHost: h\r\n\r\n")
 
         async def handle(request, answer):
-            await answer.whole(200, [], b"served")
+            await answer.send_complete(200, [], b"served")
 
         limits = ServerLimits(8192, 0, 3.0, 30.0)
         server = HttpServer(TrioClock(), lambda: limits, handle)
