--- a/packages/buckthornwall/src/buckthornwall/idempotency/agent.py
+++ b/packages/buckthornwall/src/buckthornwall/idempotency/agent.py
@@ -13,10 +13,10 @@
 from buckthornwall.links import (
     CallForward,
     CallOutcome,
-    HandOver,
-    HandOverTaken,
+    HandoverAccepted,
+    LedgerHandover,
+    LedgerMoved,
     Message,
-    OwnerMoved,
 )
 from buckthornwall.membership import MemberTable
 from buckthornwall.telemetry import log_event
@@ -103,11 +103,11 @@
         self._forwarded: dict[RequestId, _Forwarded] = {}
         self._serving: set[RequestId] = set()
         self.transfer = LedgerTransfer(
-            node, incarnation, settings, members, send, is_up, self._ask_again
+            node, incarnation, settings, members, send, is_up, self._retry_forwards
         )
         self.ledgers = self.transfer.ledgers
         self.ledgers[node, incarnation] = self.own
-        self.moved = self.transfer.moved
+        self.successors = self.transfer.successors
         self._nursery: trio.Nursery | None = None
 
     async def run(self, *, task_status=trio.TASK_STATUS_IGNORED) -> None:
@@ -198,12 +198,12 @@
     # At any other instance
 
     def _holder(self, key: IdempotencyKey) -> NodeId:
-        return self.moved.get((key.owner, key.incarnation), key.owner)
+        return self.successors.get((key.owner, key.incarnation), key.owner)
 
     def _owner_is_gone(self, key: IdempotencyKey) -> bool:
         """Tell whether the owner's incarnation is known to have ended."""
         owner = (key.owner, key.incarnation)
-        if owner in self.moved or owner in self.ledgers:
+        if owner in self.successors or owner in self.ledgers:
             return False
         if key.owner == self.node:
             return key.incarnation != self.incarnation
@@ -283,7 +283,7 @@
             if forwarded is not None:
                 forwarded.outcome = message
                 forwarded.notify()
-        elif isinstance(message, HandOver | HandOverTaken | OwnerMoved):
+        elif isinstance(message, LedgerHandover | HandoverAccepted | LedgerMoved):
             self.transfer.handle(node, message)
 
     async def _serve_forward(self, node: NodeId, message: CallForward) -> None:
@@ -327,7 +327,7 @@
             message.call, 0, "", "", outcome.status, outcome.headers, outcome.body
         )
 
-    def _ask_again(self) -> None:
+    def _retry_forwards(self) -> None:
         for forwarded in self._forwarded.values():
             forwarded.notify()
 
@@ -335,8 +335,8 @@
         self, node: NodeId, call: RequestId, owner: OwnerId
     ) -> CallOutcome | None:
         """Say where the keys went, or that whoever held them is gone."""
-        if owner in self.moved:
-            self.send(node, OwnerMoved(*owner, self.moved[owner]))
+        if owner in self.successors:
+            self.send(node, LedgerMoved(*owner, self.successors[owner]))
             return None
         code = ResultCode.OUTCOME_UNKNOWN
         return CallOutcome(call, code.number, run=Run.UNKNOWN.value)
--- a/packages/buckthornwall/src/buckthornwall/idempotency/ledger.py
+++ b/packages/buckthornwall/src/buckthornwall/idempotency/ledger.py
@@ -179,7 +179,7 @@
         ]
 
     @classmethod
-    def from_hand_over(
+    def from_handover(
         cls,
         owner: NodeId,
         incarnation: Incarnation,
--- a/packages/buckthornwall/src/buckthornwall/idempotency/tests/test_ledger.py
+++ b/packages/buckthornwall/src/buckthornwall/idempotency/tests/test_ledger.py
@@ -26,7 +26,7 @@
 
 
 def hand_over(ledger):
-    return KeyLedger.from_hand_over(
+    return KeyLedger.from_handover(
         ledger.owner,
         ledger.incarnation,
         ledger.keep,
--- a/packages/buckthornwall/src/buckthornwall/idempotency/transfer.py
+++ b/packages/buckthornwall/src/buckthornwall/idempotency/transfer.py
@@ -9,11 +9,11 @@
 import trio
 
 from buckthornwall.links import (
-    HandOver,
-    HandOverTaken,
+    HandoverAccepted,
     KeyEntry,
+    LedgerHandover,
+    LedgerMoved,
     Message,
-    OwnerMoved,
 )
 from buckthornwall.membership import MemberTable
 from buckthornwall.telemetry import log_event
@@ -24,7 +24,7 @@
 
 __all__ = ["LedgerTransfer", "OwnerId"]
 
-ENTRIES_A_PART = 200
+ENTRIES_PER_CHUNK = 200
 OwnerId = tuple[NodeId, Incarnation]
 Send = Callable[[NodeId, Message], bool]
 
@@ -42,7 +42,7 @@
         The view of the fleet.
     send, is_up
         Send a message to an instance; tell whether a link to it stands.
-    ask_again
+    retry_forwards
         Called when a ledger is heard to have moved.
     """
 
@@ -54,7 +54,7 @@
         members: MemberTable,
         send: Send,
         is_up: Callable[[NodeId], bool],
-        ask_again: Callable[[], None],
+        retry_forwards: Callable[[], None],
     ) -> None:
         self.node = node
         self.incarnation = incarnation
@@ -62,22 +62,22 @@
         self.members = members
         self.send = send
         self.is_up = is_up
-        self.ask_again = ask_again
+        self.retry_forwards = retry_forwards
         self.ledgers: dict[OwnerId, KeyLedger] = {}
-        self.moved: dict[OwnerId, NodeId] = {}
-        self._parts: dict[OwnerId, dict[int, HandOver]] = {}
-        self._taken: dict[OwnerId, trio.Event] = {}
+        self.successors: dict[OwnerId, NodeId] = {}
+        self._chunks: dict[OwnerId, dict[int, LedgerHandover]] = {}
+        self._accepted: dict[OwnerId, trio.Event] = {}
 
     def handle(self, node: NodeId, message: Message) -> None:
         """Take one message from a peer."""
-        if isinstance(message, HandOver):
-            self._take_part(node, message)
-        elif isinstance(message, HandOverTaken):
-            event = self._taken.get((message.owner, message.incarnation))
+        if isinstance(message, LedgerHandover):
+            self._receive_chunk(node, message)
+        elif isinstance(message, HandoverAccepted):
+            event = self._accepted.get((message.owner, message.incarnation))
             if event is not None:
                 event.set()
-        elif isinstance(message, OwnerMoved):
-            self._take_news(message)
+        elif isinstance(message, LedgerMoved):
+            self._receive_move(message)
 
     async def hand_over(self) -> None:
         """Seal every ledger held here and give each to one successor."""
@@ -87,33 +87,33 @@
             await trio.sleep(self.settings.forward_repeat_s / 10)
         async with trio.open_nursery() as nursery:
             for ledger in list(self.ledgers.values()):
-                nursery.start_soon(self._hand_over_one, ledger)
+                nursery.start_soon(self._hand_over_ledger, ledger)
 
-    async def _hand_over_one(self, ledger: KeyLedger) -> None:
+    async def _hand_over_ledger(self, ledger: KeyLedger) -> None:
         if ledger.next_serial == 1:
             return  # no key of it exists
         owner = (ledger.owner, ledger.incarnation)
-        taken = self._taken[owner] = trio.Event()
-        parts: list[HandOver] = []
+        accepted = self._accepted[owner] = trio.Event()
+        chunks: list[LedgerHandover] = []
         successor: NodeId | None = None
         with trio.move_on_after(self.settings.hand_over_s):
-            while not taken.is_set():
+            while not accepted.is_set():
                 successor = successor or self._choose_successor(owner)
                 if successor is not None:
-                    parts = parts or self._split(ledger, successor)
-                    for part in parts:
-                        self.send(successor, part)
+                    chunks = chunks or self._split(ledger, successor)
+                    for chunk in chunks:
+                        self.send(successor, chunk)
                 with trio.move_on_after(self.settings.forward_repeat_s):
-                    await taken.wait()
+                    await accepted.wait()
         log_event(
-            "keys_handed_over" if taken.is_set() else "keys_lost",
-            "INFO" if taken.is_set() else "WARNING",
+            "keys_handed_over" if accepted.is_set() else "keys_lost",
+            "INFO" if accepted.is_set() else "WARNING",
             owner=ledger.owner,
             successor=successor,
             keys=ledger.next_serial - 1,
         )
-        if taken.is_set():
-            self._tell_moved(OwnerMoved(*owner, successor))
+        if accepted.is_set():
+            self._announce_move(LedgerMoved(*owner, successor))
 
     def _choose_successor(self, owner: OwnerId) -> NodeId | None:
         """Choose once; a choice that was sent anything is never changed."""
@@ -124,68 +124,68 @@
         ]
         return rendezvous_winner(f"keys:{owner[0]}:{owner[1]}", peers)
 
-    def _split(self, ledger: KeyLedger, successor: NodeId) -> list[HandOver]:
+    def _split(self, ledger: KeyLedger, successor: NodeId) -> list[LedgerHandover]:
         entries = ledger.export_entries()
         slices: list[list[KeyEntry]] = [
-            entries[start : start + ENTRIES_A_PART]
-            for start in range(0, len(entries), ENTRIES_A_PART)
+            entries[start : start + ENTRIES_PER_CHUNK]
+            for start in range(0, len(entries), ENTRIES_PER_CHUNK)
         ] or [[]]
         return [
-            HandOver(
+            LedgerHandover(
                 ledger.owner,
                 ledger.incarnation,
                 ledger.next_serial,
                 ledger.oldest_serial,
-                part,
+                chunk,
                 index,
                 len(slices),
                 self.members.members[successor].incarnation,
             )
-            for index, part in enumerate(slices)
+            for index, chunk in enumerate(slices)
         ]
 
-    def _take_part(self, node: NodeId, message: HandOver) -> None:
-        if message.successor != self.incarnation:
+    def _receive_chunk(self, node: NodeId, message: LedgerHandover) -> None:
+        if message.successor_incarnation != self.incarnation:
             return
         owner = (message.owner, message.incarnation)
         if owner not in self.ledgers:
-            parts = self._parts.setdefault(owner, {})
-            parts[message.part] = message
-            if len(parts) < message.parts:
+            chunks = self._chunks.setdefault(owner, {})
+            chunks[message.chunk_index] = message
+            if len(chunks) < message.chunk_count:
                 return
-            self._take_ledger(owner, self._parts.pop(owner))
-        self.send(node, HandOverTaken(*owner))
+            self._adopt_ledger(owner, self._chunks.pop(owner))
+        self.send(node, HandoverAccepted(*owner))
 
-    def _take_ledger(self, owner: OwnerId, parts: dict[int, HandOver]) -> None:
-        entries = [entry for part in parts.values() for entry in part.entries]
-        self.ledgers[owner] = KeyLedger.from_hand_over(
+    def _adopt_ledger(self, owner: OwnerId, chunks: dict[int, LedgerHandover]) -> None:
+        entries = [entry for chunk in chunks.values() for entry in chunk.entries]
+        self.ledgers[owner] = KeyLedger.from_handover(
             *owner,
             self.settings.keys_kept,
-            parts[0].next_serial,
-            parts[0].oldest_serial,
+            chunks[0].next_serial,
+            chunks[0].oldest_serial,
             entries,
         )
-        self.moved.pop(owner, None)
-        self._tell_moved(OwnerMoved(*owner, self.node))
+        self.successors.pop(owner, None)
+        self._announce_move(LedgerMoved(*owner, self.node))
 
-    def _tell_moved(self, message: OwnerMoved) -> None:
+    def _announce_move(self, message: LedgerMoved) -> None:
         if message.successor != self.node:
-            self.moved[message.owner, message.incarnation] = message.successor
+            self.successors[message.owner, message.incarnation] = message.successor
         for node in list(self.members.members):
             self.send(node, message)
 
-    def _take_news(self, message: OwnerMoved) -> None:
+    def _receive_move(self, message: LedgerMoved) -> None:
         owner = (message.owner, message.incarnation)
         ledger = self.ledgers.get(owner)
         if ledger is not None and not ledger.sealed:
             return  # it is held here now
-        self.moved[owner] = message.successor
-        self.ask_again()
+        self.successors[owner] = message.successor
+        self.retry_forwards()
 
-    def news_for(self, node: NodeId) -> None:
+    def send_moves(self, node: NodeId) -> None:
         """Tell a peer whose link has come up what has moved where."""
-        for (owner, incarnation), successor in self.moved.items():
-            self.send(node, OwnerMoved(owner, incarnation, successor))
+        for (owner, incarnation), successor in self.successors.items():
+            self.send(node, LedgerMoved(owner, incarnation, successor))
         for owner, incarnation in self.ledgers:
             if owner != self.node:
-                self.send(node, OwnerMoved(owner, incarnation, self.node))
+                self.send(node, LedgerMoved(owner, incarnation, self.node))
--- a/packages/buckthornwall/src/buckthornwall/links/messages.py
+++ b/packages/buckthornwall/src/buckthornwall/links/messages.py
@@ -28,8 +28,8 @@
     "Enqueue",
     "EnqueueRefused",
     "Grant",
-    "HandOver",
-    "HandOverTaken",
+    "LedgerHandover",
+    "HandoverAccepted",
     "Heartbeat",
     "Hello",
     "ReportedSlot",
@@ -37,7 +37,7 @@
     "KeyEntry",
     "Message",
     "NodeState",
-    "OwnerMoved",
+    "LedgerMoved",
     "PeerAddress",
     "Preempt",
     "RecordsReply",
@@ -263,7 +263,7 @@
     body: bytes
 
 
-class HandOver(Struct, array_like=True, tag=16):
+class LedgerHandover(Struct, array_like=True, tag=16):
     """A part of the keys of an owner that stops, for its successor.
 
     It is for one incarnation of the successor only: a later one might get it
@@ -275,19 +275,19 @@
     next_serial: int
     oldest_serial: int
     entries: list[KeyEntry]
-    part: int
-    parts: int
-    successor: Incarnation
+    chunk_index: int
+    chunk_count: int
+    successor_incarnation: Incarnation
 
 
-class HandOverTaken(Struct, array_like=True, tag=17):
+class HandoverAccepted(Struct, array_like=True, tag=17):
     """The successor holds the keys now."""
 
     owner: NodeId
     incarnation: Incarnation
 
 
-class OwnerMoved(Struct, array_like=True, tag=18):
+class LedgerMoved(Struct, array_like=True, tag=18):
     """News that an owner's keys are held by a successor."""
 
     owner: NodeId
@@ -311,8 +311,8 @@
     | ShareLeaseEnded
     | CallForward
     | CallOutcome
-    | HandOver
-    | HandOverTaken
-    | OwnerMoved
+    | LedgerHandover
+    | HandoverAccepted
+    | LedgerMoved
     | Preempt
 )
--- a/packages/buckthornwall/src/buckthornwall/node/core.py
+++ b/packages/buckthornwall/src/buckthornwall/node/core.py
@@ -19,12 +19,12 @@
     EnqueueAccepted,
     EnqueueRefused,
     Grant,
-    HandOver,
-    HandOverTaken,
+    HandoverAccepted,
     Heartbeat,
+    LedgerHandover,
+    LedgerMoved,
     Message,
     NodeState,
-    OwnerMoved,
     Preempt,
     RecordsReply,
     RecordsRequest,
@@ -71,7 +71,13 @@
 TO_SCHEDULER = (Enqueue, Release, Withdraw, SlotReport)
 TO_ENTRY = (EnqueueAccepted, EnqueueRefused, Grant, Preempt, ShareLeaseEnded)
 TO_RECORDS = (RecordsRequest, RecordsReply)
-TO_IDEMPOTENCY = (CallForward, CallOutcome, HandOver, HandOverTaken, OwnerMoved)
+TO_IDEMPOTENCY = (
+    CallForward,
+    CallOutcome,
+    LedgerHandover,
+    HandoverAccepted,
+    LedgerMoved,
+)
 
 
 class Node:
@@ -261,7 +267,7 @@
 
     def _link_up(self, node: NodeId) -> None:
         self.announcer.greet(node)
-        self.idempotency.transfer.news_for(node)
+        self.idempotency.transfer.send_moves(node)
 
     def _link_down(self, node: NodeId) -> None:
         self.members.suspect(node, self.clock.now())
