--- a/packages/buckthornwall/src/buckthornwall/pools/__init__.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/__init__.py
@@ -1,30 +1,30 @@
 """Upstreams of each pool: registrations, load, health, and placement of requests.
 
-============= ============================================================
-`entry`       an upstream as it is registered
-`load`        load of an upstream as known to this instance
-`waits`       how long requests there have waited for their first token
-`prefixes`    estimate of the prefix cache of an engine
+================ ==============================================================
+`entry`          an upstream as it is registered
+`load`           load of an upstream as known to this instance
+`waits`          how long requests there have waited for their first token
+`prefixes`       estimate of the prefix cache of an engine
 `prefix_updates` exchange of cached prefixes between instances
-`evacuation`  which availability zones get no new requests
-`health`      which upstreams fail requests, whatever their health check says
-`reachability` which upstreams cannot be reached, as instances tell each other
-`rate_limit`  how many requests a second an upstream takes from all instances
-`rate_limits` those of all upstreams, and what an instance may send
-`limit_share` which instances send to one, and how much each
-`fleet_memory` instances that were live lately
-`limit_queue` who gets the next token where all of a pool have a limit
-`view`        all of these for one upstream
-`table`       the views by upstream; adopts registrations
-`reserved`    engines reserved for pause-sensitive streams
-`placement`   the choice of an upstream for a request
-`ledger`      requests admitted and refused lately, by rank
-`overload`    limits of the expected wait, and the delay of retries
-`traits`      properties of a request that decisions depend on
-`expectation` expected time to the first token
-`refusal`     whether a request is refused for overload
-`decision`    which upstream a request is sent to
-============= ============================================================
+`evacuation`     availability zones that get no new requests
+`health`         upstreams that fail requests, whatever their health check says
+`reachability`   upstreams that cannot be reached, as reported by instances
+`rate_limit`     rate limit of one upstream over all instances
+`rate_limits`    rate limits of all upstreams, and the local shares
+`limit_share`    shares of the instances in the rate limit of an upstream
+`fleet_memory`   instances that were live lately
+`limit_queue`    queue for the tokens of a pool whose upstreams are all limited
+`view`           all of these for one upstream
+`table`          views by upstream; adopts registrations
+`reserved`       engines reserved for pause-sensitive streams
+`placement`      choice of an upstream for a request
+`ledger`         requests admitted and refused lately, by rank
+`overload`       limits of the expected wait, and the delay of retries
+`traits`         properties of a request that decisions depend on
+`expectation`    expected time to the first token
+`refusal`        whether a request is refused for overload
+`decision`       which upstream a request is sent to
+================ ==============================================================
 """
 
 from .decision import choose_upstream
@@ -47,10 +47,10 @@
 from .view import UpstreamView
 
 __all__ = [
+    "CachedPrefixes",
     "Choice",
     "Fleet",
     "FleetMemory",
-    "CachedPrefixes",
     "LimitQueue",
     "LimitReport",
     "LimitReports",
