--- a/packages/buckthornwall/src/buckthornwall/idempotency/__init__.py
+++ b/packages/buckthornwall/src/buckthornwall/idempotency/__init__.py
@@ -2,7 +2,7 @@
 
 from .agent import IdempotencyAgent
 from .calls import CallRequest, CallResult
-from .keys import IdempotencyKey, KeyMint
+from .keys import IdempotencyKey, KeyCodec
 from .ledger import BeginResult, KeyLedger, KeyState, StoredOutcome
 from .settings import IdempotencySettings
 from .transfer import LedgerTransfer
@@ -15,7 +15,7 @@
     "IdempotencyKey",
     "IdempotencySettings",
     "KeyLedger",
-    "KeyMint",
+    "KeyCodec",
     "KeyState",
     "LedgerTransfer",
     "StoredOutcome",
--- a/packages/buckthornwall/src/buckthornwall/idempotency/agent.py
+++ b/packages/buckthornwall/src/buckthornwall/idempotency/agent.py
@@ -29,14 +29,14 @@
 )
 
 from .calls import CallRequest
-from .keys import IdempotencyKey, KeyMint
+from .keys import IdempotencyKey, KeyCodec
 from .ledger import BeginResult, KeyLedger, StoredOutcome
 from .settings import IdempotencySettings
 from .transfer import LedgerTransfer, OwnerId
 
 __all__ = ["IdempotencyAgent"]
 
-CODES = {code.number: code for code in ResultCode}
+CODE_BY_NUMBER = {code.number: code for code in ResultCode}
 Send = Callable[[NodeId, Message], bool]
 
 
@@ -44,15 +44,15 @@
 
 
 @dataclass
-class _Forwarded:
+class _PendingForward:
     """A call that waits here for its owner's answer."""
 
     outcome: CallOutcome | None = None
-    news: trio.Event = field(default_factory=trio.Event)
+    updated: trio.Event = field(default_factory=trio.Event)
 
     def notify(self) -> None:
-        self.news.set()
-        self.news = trio.Event()
+        self.updated.set()
+        self.updated = trio.Event()
 
 
 class IdempotencyAgent:
@@ -64,7 +64,7 @@
         This instance; its own keys carry both.
     clock, settings
         The clock and the ``[idempotency]`` section.
-    mint
+    key_codec
         Writes and reads keys.
     members
         The view of the fleet.
@@ -82,7 +82,7 @@
         incarnation: Incarnation,
         clock: Clock,
         settings: IdempotencySettings,
-        mint: KeyMint,
+        key_codec: KeyCodec,
         members: MemberTable,
         send: Send,
         is_up: Callable[[NodeId], bool],
@@ -92,21 +92,21 @@
         self.incarnation = incarnation
         self.clock = clock
         self.settings = settings
-        self.mint = mint
+        self.key_codec = key_codec
         self.members = members
         self.send = send
         self.is_up = is_up
         self.dispatch = dispatch
-        self.own = KeyLedger(node, incarnation, settings.keys_kept)
-        self.timeout_of: Callable[[str], float] = lambda route: 30.0
-        self._ended: dict[tuple[OwnerId, int], trio.Event] = {}
-        self._forwarded: dict[RequestId, _Forwarded] = {}
-        self._serving: set[RequestId] = set()
+        self.local_ledger = KeyLedger(node, incarnation, settings.keys_kept)
+        self.route_timeout_s: Callable[[str], float] = lambda route: 30.0
+        self._completions: dict[tuple[OwnerId, int], trio.Event] = {}
+        self._pending_forwards: dict[RequestId, _PendingForward] = {}
+        self._active_forwards: set[RequestId] = set()
         self.transfer = LedgerTransfer(
             node, incarnation, settings, members, send, is_up, self._retry_forwards
         )
         self.ledgers = self.transfer.ledgers
-        self.ledgers[node, incarnation] = self.own
+        self.ledgers[node, incarnation] = self.local_ledger
         self.successors = self.transfer.successors
         self._nursery: trio.Nursery | None = None
 
@@ -119,8 +119,8 @@
 
     def issue(self) -> str:
         """Return the text of a fresh key of this instance."""
-        key = IdempotencyKey(self.node, self.incarnation, self.own.issue())
-        return self.mint.write(key)
+        key = IdempotencyKey(self.node, self.incarnation, self.local_ledger.issue())
+        return self.key_codec.encode(key)
 
     async def call(self, text: str, request: CallRequest) -> StoredOutcome:
         """Run the call under its key, here or at the key's owner.
@@ -130,31 +130,33 @@
         Refusal
             Saying whether the call ran: no, or unknown.
         """
-        key = self.mint.read(text)
+        key = self.key_codec.decode(text)
         if key is None:
             raise Refusal(ResultCode.KEY_FOREIGN)
         if (key.owner, key.incarnation) in self.ledgers:
-            return await self._call_here(key, request)
-        return await self._call_owner(key, text, request)
+            return await self._call_locally(key, request)
+        return await self._call_remotely(key, text, request)
 
     # At the owner
 
-    async def _call_here(
+    async def _call_locally(
         self, key: IdempotencyKey, request: CallRequest
     ) -> StoredOutcome:
         owner = (key.owner, key.incarnation)
         ledger = self.ledgers[owner]
         result = ledger.begin(key.serial, request.fingerprint())
         if result is BeginResult.DISPATCH:
-            ended = self._ended[owner, key.serial] = trio.Event()
-            self._nursery.start_soon(self._execute, ledger, key.serial, request, ended)
-            await ended.wait()
+            completed = self._completions[owner, key.serial] = trio.Event()
+            self._nursery.start_soon(
+                self._execute, ledger, key.serial, request, completed
+            )
+            await completed.wait()
         elif result is BeginResult.JOIN:
-            await self._ended[owner, key.serial].wait()
+            await self._completions[owner, key.serial].wait()
         elif result is BeginResult.SEALED:
             return await self._call_successor(key, request)
         else:
-            _raise_unless_known(result)
+            _raise_if_refused(result)
         return self._outcome(ledger, key.serial, request)
 
     def _outcome(
@@ -163,45 +165,49 @@
         outcome = ledger.outcome(serial)
         if outcome is not None:
             return outcome
-        _raise_unless_known(BeginResult(ledger.state(serial).name.lower()))
+        _raise_if_refused(BeginResult(ledger.state(serial).name.lower()))
         raise Refusal(ResultCode.OUTCOME_UNKNOWN, run=Run.UNKNOWN)
 
     async def _execute(
-        self, ledger: KeyLedger, serial: int, request: CallRequest, ended: trio.Event
+        self,
+        ledger: KeyLedger,
+        serial: int,
+        request: CallRequest,
+        completed: trio.Event,
     ) -> None:
         """Make the one upstream call of a key that was marked DISPATCHED."""
         try:
             with trio.fail_after(request.timeout_s):
                 outcome = await self.dispatch(request)
-            ledger.finish(serial, outcome)
+            ledger.record_outcome(serial, outcome)
         except UpstreamError as error:
             if error.sent:
-                ledger.lose(serial)
+                ledger.mark_unknown(serial)
             else:
-                ledger.void(serial)
+                ledger.mark_void(serial)
             log_event("call_failed", "WARNING", code=error.code.number, sent=error.sent)
         except trio.TooSlowError:
-            ledger.lose(serial)
+            ledger.mark_unknown(serial)
             log_event("call_timed_out", "WARNING", route=request.route)
         finally:
             if ledger.outcome(serial) is None:
-                ledger.lose(serial)  # no effect on a key that is VOID
-            ended.set()
-            del self._ended[(ledger.owner, ledger.incarnation), serial]
+                ledger.mark_unknown(serial)  # no effect on a key that is VOID
+            completed.set()
+            del self._completions[(ledger.owner, ledger.incarnation), serial]
 
     async def _call_successor(
         self, key: IdempotencyKey, request: CallRequest
     ) -> StoredOutcome:
         """Wait until a sealed ledger is handed over, then ask its new holder."""
-        return await self._call_owner(key, self.mint.write(key), request)
+        return await self._call_remotely(key, self.key_codec.encode(key), request)
 
     # At any other instance
 
     def _holder(self, key: IdempotencyKey) -> NodeId:
         return self.successors.get((key.owner, key.incarnation), key.owner)
 
-    def _owner_is_gone(self, key: IdempotencyKey) -> bool:
-        """Tell whether the owner's incarnation is known to have ended."""
+    def _has_owner_ended(self, key: IdempotencyKey) -> bool:
+        """Tell whether the owner's incarnation is known to have completed."""
         owner = (key.owner, key.incarnation)
         if owner in self.successors or owner in self.ledgers:
             return False
@@ -214,7 +220,7 @@
             and member.last_heartbeat_at is not None
         )
 
-    async def _call_owner(
+    async def _call_remotely(
         self, key: IdempotencyKey, text: str, request: CallRequest
     ) -> StoredOutcome:
         """Hand the call to the key's owner, again and again until it answers.
@@ -222,7 +228,7 @@
         Repeating is safe: the owner's ledger joins what it has begun.
         """
         call = RequestId(new_id())
-        forwarded = self._forwarded[call] = _Forwarded()
+        forwarded = self._pending_forwards[call] = _PendingForward()
         message = CallForward(
             call,
             text,
@@ -238,31 +244,31 @@
             while forwarded.outcome is None:
                 await self._forward_once(key, message, forwarded, deadline)
         finally:
-            del self._forwarded[call]
-        return _unpack(forwarded.outcome)
+            del self._pending_forwards[call]
+        return _to_stored_outcome(forwarded.outcome)
 
     async def _forward_once(
         self,
         key: IdempotencyKey,
         message: CallForward,
-        forwarded: _Forwarded,
+        forwarded: _PendingForward,
         deadline: float,
     ) -> None:
         unknown = Refusal(ResultCode.OUTCOME_UNKNOWN, run=Run.UNKNOWN)
-        if self._owner_is_gone(key) or self.clock.now() >= deadline:
+        if self._has_owner_ended(key) or self.clock.now() >= deadline:
             raise unknown
         holder = self._holder(key)
-        if holder != self.node and not await self._link_to(holder):
+        if holder != self.node and not await self._wait_for_link(holder):
             if self._holder(key) == holder:
                 raise unknown
             return
-        news = forwarded.news
+        updated = forwarded.updated
         if holder != self.node:
             self.send(holder, message)
         with trio.move_on_after(self.settings.forward_repeat_s):
-            await news.wait()
+            await updated.wait()
 
-    async def _link_to(self, holder: NodeId) -> bool:
+    async def _wait_for_link(self, holder: NodeId) -> bool:
         """Wait a little for a link; False if none comes up."""
         with trio.move_on_after(self.settings.owner_patience_s):
             while not self.is_up(holder):
@@ -275,11 +281,11 @@
     def handle(self, node: NodeId, message: Message) -> None:
         """Take one message from a peer."""
         if isinstance(message, CallForward):
-            if message.call not in self._serving:
-                self._serving.add(message.call)
+            if message.call not in self._active_forwards:
+                self._active_forwards.add(message.call)
                 self._nursery.start_soon(self._serve_forward, node, message)
         elif isinstance(message, CallOutcome):
-            forwarded = self._forwarded.get(message.call)
+            forwarded = self._pending_forwards.get(message.call)
             if forwarded is not None:
                 forwarded.outcome = message
                 forwarded.notify()
@@ -294,12 +300,12 @@
             message.path,
             [(name, value) for name, value in message.headers],
             message.body,
-            self.timeout_of(message.route),
+            self.route_timeout_s(message.route),
         )
         try:
             outcome = await self._answer_forward(node, message, request)
         finally:
-            self._serving.discard(message.call)
+            self._active_forwards.discard(message.call)
         if outcome is not None:
             self.send(node, outcome)
 
@@ -307,14 +313,14 @@
         self, node: NodeId, message: CallForward, request: CallRequest
     ) -> CallOutcome | None:
         """Run a forwarded call if its ledger is here; else stay silent."""
-        key = self.mint.read(message.key)
+        key = self.key_codec.decode(message.key)
         if key is None:
             code = ResultCode.KEY_FOREIGN
             return CallOutcome(message.call, code.number, run=Run.NO.value)
         owner = (key.owner, key.incarnation)
         ledger = self.ledgers.get(owner)
         if ledger is None:
-            return self._answer_not_held(node, message.call, owner)
+            return self._answer_without_ledger(node, message.call, owner)
         if ledger.sealed:
             return None  # the asker asks again once it hears of the successor
         try:
@@ -328,10 +334,10 @@
         )
 
     def _retry_forwards(self) -> None:
-        for forwarded in self._forwarded.values():
+        for forwarded in self._pending_forwards.values():
             forwarded.notify()
 
-    def _answer_not_held(
+    def _answer_without_ledger(
         self, node: NodeId, call: RequestId, owner: OwnerId
     ) -> CallOutcome | None:
         """Say where the keys went, or that whoever held them is gone."""
@@ -342,7 +348,7 @@
         return CallOutcome(call, code.number, run=Run.UNKNOWN.value)
 
 
-def _raise_unless_known(result: BeginResult) -> None:
+def _raise_if_refused(result: BeginResult) -> None:
     refusals = {
         BeginResult.UNKNOWN: (ResultCode.OUTCOME_UNKNOWN, Run.UNKNOWN),
         BeginResult.VOID: (ResultCode.KEY_VOID, Run.NO),
@@ -355,9 +361,9 @@
         raise Refusal(code, run=run)
 
 
-def _unpack(outcome: CallOutcome) -> StoredOutcome:
+def _to_stored_outcome(outcome: CallOutcome) -> StoredOutcome:
     if outcome.code:
-        code = CODES.get(outcome.code, ResultCode.OUTCOME_UNKNOWN)
+        code = CODE_BY_NUMBER.get(outcome.code, ResultCode.OUTCOME_UNKNOWN)
         run = Run(outcome.run) if outcome.run else Run.UNKNOWN
         raise Refusal(code, outcome.detail, run)
     headers = [(name, value) for name, value in outcome.headers]
--- a/packages/buckthornwall/src/buckthornwall/idempotency/keys.py
+++ b/packages/buckthornwall/src/buckthornwall/idempotency/keys.py
@@ -5,7 +5,7 @@
 
 from buckthornwall.utils import Incarnation, NodeId
 
-__all__ = ["IdempotencyKey", "KeyMint"]
+__all__ = ["IdempotencyKey", "KeyCodec"]
 
 VERSION = "bw1"
 SEPARATOR = "."
@@ -21,7 +21,7 @@
     serial: int
 
 
-class KeyMint:
+class KeyCodec:
     """Writes and reads keys; a code proves that this fleet issued one.
 
     Parameters
@@ -36,14 +36,14 @@
     def _mac(self, body: str) -> str:
         return hmac.digest(self.secret, body.encode(), "sha256").hex()[:MAC_CHARS]
 
-    def write(self, key: IdempotencyKey) -> str:
+    def encode(self, key: IdempotencyKey) -> str:
         """Return the key's text, safe in a header."""
         body = SEPARATOR.join(
             [VERSION, key.owner, f"{key.incarnation:x}", f"{key.serial:x}"]
         )
         return body + SEPARATOR + self._mac(body)
 
-    def read(self, text: str) -> IdempotencyKey | None:
+    def decode(self, text: str) -> IdempotencyKey | None:
         """Return the key, or None if this fleet did not issue the text."""
         body, _, mac = text.rpartition(SEPARATOR)
         if not hmac.compare_digest(self._mac(body).encode(), mac.encode()):
--- a/packages/buckthornwall/src/buckthornwall/idempotency/ledger.py
+++ b/packages/buckthornwall/src/buckthornwall/idempotency/ledger.py
@@ -65,15 +65,17 @@
     ----------
     owner, incarnation
         Whose keys these are.
-    keep
+    max_used_keys
         Used keys to remember; older ones are answered as expired, since what
         became of them is no longer known.
     """
 
-    def __init__(self, owner: NodeId, incarnation: Incarnation, keep: int) -> None:
+    def __init__(
+        self, owner: NodeId, incarnation: Incarnation, max_used_keys: int
+    ) -> None:
         self.owner = owner
         self.incarnation = incarnation
-        self.keep = keep
+        self.max_used_keys = max_used_keys
         self.next_serial = 1
         self.oldest_serial = 1
         self.sealed = False
@@ -104,7 +106,7 @@
             if serial < self.oldest_serial:
                 return BeginResult.EXPIRED
             self._entries[serial] = _Entry(KeyState.DISPATCHED, fingerprint)
-            self._forget_oldest()
+            self._evict_oldest()
             return BeginResult.DISPATCH
         if entry.fingerprint != fingerprint:
             return BeginResult.REUSED
@@ -115,20 +117,20 @@
             KeyState.VOID: BeginResult.VOID,
         }[entry.state]
 
-    def finish(self, serial: int, outcome: StoredOutcome) -> None:
+    def record_outcome(self, serial: int, outcome: StoredOutcome) -> None:
         """Note the service's answer to a dispatched call."""
         entry = self._entries[serial]
         if entry.state is KeyState.DISPATCHED:
             entry.state = KeyState.DONE
             entry.outcome = outcome
 
-    def lose(self, serial: int) -> None:
+    def mark_unknown(self, serial: int) -> None:
         """Note that a dispatched call's outcome will never be known here."""
         entry = self._entries[serial]
         if entry.state is KeyState.DISPATCHED:
             entry.state = KeyState.UNKNOWN
 
-    def void(self, serial: int) -> None:
+    def mark_void(self, serial: int) -> None:
         """Note that no byte of the call was sent and none ever will be."""
         entry = self._entries[serial]
         if entry.state is KeyState.DISPATCHED:
@@ -144,8 +146,8 @@
         entry = self._entries.get(serial)
         return entry.outcome if entry else None
 
-    def _forget_oldest(self) -> None:
-        excess = len(self._entries) - self.keep
+    def _evict_oldest(self) -> None:
+        excess = len(self._entries) - self.max_used_keys
         if excess <= 0:
             return
         for serial in sorted(self._entries)[:excess]:
@@ -183,7 +185,7 @@
         cls,
         owner: NodeId,
         incarnation: Incarnation,
-        keep: int,
+        max_used_keys: int,
         next_serial: int,
         oldest_serial: int,
         entries: list[KeyEntry],
@@ -193,7 +195,7 @@
         A call that was still in flight at the old owner is UNKNOWN here: its
         answer went elsewhere.
         """
-        ledger = cls(owner, incarnation, keep)
+        ledger = cls(owner, incarnation, max_used_keys)
         ledger.next_serial = next_serial
         ledger.oldest_serial = oldest_serial
         for item in entries:
--- a/packages/buckthornwall/src/buckthornwall/idempotency/tests/test_ledger.py
+++ b/packages/buckthornwall/src/buckthornwall/idempotency/tests/test_ledger.py
@@ -8,8 +8,8 @@
 from buckthornwall.idempotency import (
     BeginResult,
     IdempotencyKey,
+    KeyCodec,
     KeyLedger,
-    KeyMint,
     KeyState,
     StoredOutcome,
 )
@@ -18,8 +18,8 @@
 SERIALS = 3
 
 
-def make_ledger(issued=SERIALS, keep=100):
-    ledger = KeyLedger("n1", 7, keep)
+def make_ledger(issued=SERIALS, max_used_keys=100):
+    ledger = KeyLedger("n1", 7, max_used_keys)
     for _ in range(issued):
         ledger.issue()
     return ledger
@@ -29,7 +29,7 @@
     return KeyLedger.from_handover(
         ledger.owner,
         ledger.incarnation,
-        ledger.keep,
+        ledger.max_used_keys,
         ledger.next_serial,
         ledger.oldest_serial,
         ledger.export_entries(),
@@ -79,16 +79,16 @@
     @rule(serial=st.integers(1, SERIALS))
     def cannot_connect(self, serial):
         if self.reference[serial] == "marked":
-            self.ledger.void(serial)
+            self.ledger.mark_void(serial)
             self.reference[serial] = "void"
 
     @rule(serial=st.integers(1, SERIALS), answered=st.booleans())
     def end(self, serial, answered):
         if self.reference[serial] == "sent":
             if answered:
-                self.ledger.finish(serial, OUTCOME)
+                self.ledger.record_outcome(serial, OUTCOME)
             else:
-                self.ledger.lose(serial)
+                self.ledger.mark_unknown(serial)
             self.reference[serial] = "done" if answered else "unknown"
 
     @rule()
@@ -132,10 +132,10 @@
 
 
 def test_an_unused_key_older_than_what_is_remembered_is_not_run():
-    ledger = make_ledger(issued=5, keep=1)
+    ledger = make_ledger(issued=5, max_used_keys=1)
     for serial in (2, 4):
         ledger.begin(serial, "f")
-        ledger.finish(serial, OUTCOME)
+        ledger.record_outcome(serial, OUTCOME)
     assert ledger.begin(1, "f") is BeginResult.EXPIRED
     assert ledger.begin(2, "f") is BeginResult.EXPIRED
     assert ledger.begin(5, "f") is BeginResult.DISPATCH
@@ -149,11 +149,11 @@
 
 @pytest.mark.parametrize("text", ["", "x", "bw1.n.1.1.0000", "bw1.n1.7.1." + "0" * 20])
 def test_a_text_that_was_not_issued_is_no_key(text):
-    assert KeyMint("secret").read(text) is None
+    assert KeyCodec("secret").decode(text) is None
 
 
 def test_a_key_reads_back_and_another_fleet_cannot_read_it():
     key = IdempotencyKey("n1", 7, 12)
-    text = KeyMint("secret").write(key)
-    assert KeyMint("secret").read(text) == key
-    assert KeyMint("other").read(text) is None
+    text = KeyCodec("secret").encode(key)
+    assert KeyCodec("secret").decode(text) == key
+    assert KeyCodec("other").decode(text) is None
--- a/packages/buckthornwall/src/buckthornwall/node/core.py
+++ b/packages/buckthornwall/src/buckthornwall/node/core.py
@@ -11,7 +11,7 @@
     OperatorApp,
     ServiceHandler,
 )
-from buckthornwall.idempotency import IdempotencyAgent, KeyMint
+from buckthornwall.idempotency import IdempotencyAgent, KeyCodec
 from buckthornwall.links import (
     CallForward,
     CallOutcome,
@@ -179,13 +179,13 @@
             self.incarnation,
             self.clock,
             settings.idempotency,
-            KeyMint(settings.links.peer_secret),
+            KeyCodec(settings.links.peer_secret),
             self.members,
             self.hub.send,
             self.hub.is_up,
             lambda request: self.services.dispatch_once(request),
         )
-        self.idempotency.timeout_of = self._route_timeout
+        self.idempotency.route_timeout_s = self._route_timeout
 
     def _make_gateway(self) -> None:
         settings = self.settings
--- a/packages/buckthornwall/src/buckthornwall/node/status.py
+++ b/packages/buckthornwall/src/buckthornwall/node/status.py
@@ -36,7 +36,7 @@
             for (pool, local), role in node.scheduler.roles.items()
         ],
         "keys": {
-            "issued": node.idempotency.own.next_serial - 1,
+            "issued": node.idempotency.local_ledger.next_serial - 1,
             "ledgers": len(node.idempotency.ledgers),
         },
         "links": {
