--- a/packages/buckthornwall/src/buckthornwall/admission/__init__.py
+++ b/packages/buckthornwall/src/buckthornwall/admission/__init__.py
@@ -1,4 +1,4 @@
-"""Who the caller is, where the request goes, and which class applies."""
+"""Authentication of clients, and the route and service class of a request."""
 
 from .core import Admission, AdmittedRequest, TeamConcurrencyLimiter
 
--- a/packages/buckthornwall/src/buckthornwall/admission/core.py
+++ b/packages/buckthornwall/src/buckthornwall/admission/core.py
@@ -24,7 +24,7 @@
 
 @dataclass
 class AdmittedRequest:
-    """A request that may go on: its team, route and class."""
+    """The team, route and service class of an admitted request."""
 
     team: Team
     route: Route
@@ -32,19 +32,19 @@
 
 
 class TeamConcurrencyLimiter:
-    """Counts each team's requests in flight on this instance."""
+    """Limits each team's requests in flight on this instance."""
 
     def __init__(self) -> None:
         self.in_flight: Counter[TeamId] = Counter()
 
     @contextmanager
     def hold(self, team: Team) -> Iterator[None]:
-        """Count a request for as long as it runs.
+        """Count a request as in flight while the context is open.
 
         Raises
         ------
         Refusal
-            If the team is at its limit.
+            If the team has reached its limit.
         """
         if self.in_flight[team.id] >= team.max_in_flight:
             raise Refusal(ResultCode.TEAM_LIMIT, team.id, retry_after_s=1.0)
@@ -58,7 +58,7 @@
 
 
 class Admission:
-    """Reads the records in force; holds no state of its own."""
+    """Authenticates and admits requests by the records in force."""
 
     def __init__(self, store: RecordStore) -> None:
         self.store = store
@@ -70,19 +70,19 @@
         Raises
         ------
         Refusal
-            Before the first set is adopted.
+            If no records have been adopted yet.
         """
         if self.store.view is None:
             raise Refusal(ResultCode.NOT_READY, retry_after_s=1.0)
         return self.store.view
 
     def authenticate(self, authorization: str | None) -> Team:
-        """Return the team whose key this is.
+        """Return the team that the API key belongs to.
 
         Raises
         ------
         Refusal
-            If no team's record holds the key's hash.
+            If no team's record has the hash of the key.
         """
         view = self.view
         if authorization and authorization.lower().startswith(BEARER_PREFIX):
@@ -95,21 +95,21 @@
     def admit(
         self, team: Team, target: TargetKind, name: str, requested_class: str | None
     ) -> AdmittedRequest:
-        """Find the route and the class of a request.
+        """Return the route and the service class of a request.
 
         Parameters
         ----------
         team
-            The caller.
+            The client's team.
         target, name
-            What kind of route is asked for, and its name.
+            Kind and name of the requested route.
         requested_class
-            The class that the caller asks for, if it names one.
+            The service class that the client names, if any.
 
         Raises
         ------
         Refusal
-            If there is no such route, or the team may not use the class.
+            If the route does not exist, or the team may not use the class.
         """
         route = self.view.routes.get(RouteId(name))
         if route is None or route.to is not target:
--- a/packages/buckthornwall/src/buckthornwall/membership/__init__.py
+++ b/packages/buckthornwall/src/buckthornwall/membership/__init__.py
@@ -1,4 +1,4 @@
-"""Which instances are live, leaving or suspected."""
+"""Membership: which instances are live, leaving or suspected."""
 
 from buckthornwall.utils import lazy_exports
 
--- a/packages/buckthornwall/src/buckthornwall/membership/core.py
+++ b/packages/buckthornwall/src/buckthornwall/membership/core.py
@@ -1,4 +1,4 @@
-"""The table of instances: the platform's list and what heartbeats say."""
+"""The table of instances, from the platform's list and from heartbeats."""
 
 from dataclasses import dataclass
 
@@ -25,22 +25,26 @@
         0.5, "Seconds between heartbeats to a peer.", minimum=0.05, maximum=60
     )
     suspect_after_s = ConfigItem(
-        2.0, "Seconds of silence after which a peer is suspected.", minimum=0.1
+        2.0, "Seconds without a heartbeat after which a peer is suspected.", minimum=0.1
     )
     forget_after_s = ConfigItem(
-        30.0, "Seconds of silence after which an unlisted peer is dropped.", minimum=1
+        30.0,
+        "Seconds without a heartbeat after which an unlisted peer is removed.",
+        minimum=1,
     )
     freeze_s = ConfigItem(
-        1.0, "Gap in seconds that counts as a freeze of this process.", minimum=0.2
+        1.0,
+        "Seconds between checks of the clock that count as a freeze of this process.",
+        minimum=0.2,
     )
     leaving_ttl_s = ConfigItem(
-        30.0, "Seconds for which an upstream is held to be leaving.", minimum=1
+        30.0, "Seconds for which an upstream is treated as leaving.", minimum=1
     )
 
 
 @dataclass
 class Member:
-    """What is known of one other instance; `last_heartbeat_at` is None if suspected."""
+    """State of one other instance; `last_heartbeat_at` is None if suspected."""
 
     node: NodeId
     address: str
@@ -53,7 +57,7 @@
 
 
 class MemberTable:
-    """Members by node; a pure state machine, given the time at each call.
+    """The other instances by id; a state machine that is passed the time.
 
     Parameters
     ----------
@@ -74,7 +78,7 @@
         self._first_hand_leaving_until: dict[UpstreamId, float] = {}
 
     def apply_list(self, listed: dict[NodeId, PeerAddress], now: float) -> None:
-        """Take the platform's list of entry instances, however old it is."""
+        """Apply the platform's list of instances, however old it is."""
         self.list_received = True
         for node, peer in listed.items():
             if node != self.node:
@@ -93,7 +97,7 @@
         return self.members[node]
 
     def add_peer(self, peer: PeerAddress, now: float) -> None:
-        """Note an instance that a peer or a setting names."""
+        """Add an instance that a peer or the settings name."""
         if peer.node != self.node:
             self._member(peer.node, peer.address, now)
 
@@ -105,29 +109,30 @@
         zone: ZoneId,
         now: float,
     ) -> bool:
-        """Take a heartbeat.
+        """Record a heartbeat.
 
         Returns
         -------
         bool
-            True if the member was not live in this state just before.
+            Whether the member was suspected before, or changed its state or
+            incarnation.
         """
         member = self._member(node, "", now)
-        fresh = (
+        changed = (
             member.last_heartbeat_at is None
             or member.state is not state
             or member.incarnation != incarnation
         )
-        if fresh:
+        if changed:
             self._winners.clear()
         member.incarnation = incarnation
         member.state = state
         member.zone = zone
         member.last_heartbeat_at = now
-        return fresh
+        return changed
 
     def suspect(self, node: NodeId, now: float) -> None:
-        """Take a broken link as a sign that the member is gone."""
+        """Mark a member as suspected, as after the loss of its link."""
         member = self.members.get(node)
         if member is not None and member.last_heartbeat_at is not None:
             member.last_heartbeat_at = None
@@ -135,7 +140,7 @@
             self._winners.clear()
 
     def expire(self, now: float) -> list[NodeId]:
-        """Suspect the members that fell silent; return them."""
+        """Suspect the members whose heartbeats timed out; return them."""
         silent = [
             member.node
             for member in self.members.values()
@@ -159,12 +164,12 @@
             del self.members[member.node]
 
     def suspect_all(self, now: float) -> None:
-        """After a freeze: nobody counts as heard until heard again."""
+        """Suspect every member until its next heartbeat, after a freeze."""
         for node in self.members:
             self.suspect(node, now)
 
     def live(self) -> list[NodeId]:
-        """Return the instances that may hold a role, this one included."""
+        """Return the instances that may hold a role, including this one."""
         nodes = [
             member.node
             for member in self.members.values()
@@ -175,7 +180,7 @@
         return nodes
 
     def unsuspected_nodes(self) -> set[NodeId]:
-        """Return every instance that is not suspected, this one included."""
+        """Return the instances that are not suspected, including this one."""
         nodes = {
             member.node
             for member in self.members.values()
@@ -184,10 +189,10 @@
         return nodes | {self.node}
 
     def share_count(self) -> int:
-        """Count the instances that may hold a part of the pools' slots.
+        """Return the number of instances among which the pools' slots are shared.
 
-        A suspected instance counts for as long as the platform lists it: it
-        may be on the far side of a partition and still use its part.
+        A suspected instance counts while the platform lists it, since it may be on
+        the other side of a network partition and still use its share.
         """
         return 1 + sum(
             member.listed or member.last_heartbeat_at is not None
@@ -195,21 +200,22 @@
         )
 
     def winner(self, role: str) -> NodeId | None:
-        """Return the live instance that holds `role` in this view."""
+        """Return the live instance that holds `role`, by rendezvous hashing."""
         if role not in self._winners:
             self._winners[role] = rendezvous_winner(role, self.live())
         return self._winners[role]
 
     def set_local_state(self, state: NodeState) -> None:
-        """Change what this instance says of itself."""
+        """Set the state that this instance announces."""
         self.local_state = state
         self._winners.clear()
 
     def mark_leaving(self, upstream: UpstreamId, now: float, first_hand: bool) -> None:
-        """Believe at once that an upstream is leaving.
+        """Treat an upstream as leaving for `leaving_ttl_s`.
 
-        Only what came first hand, from the platform's list or the upstream, is
-        told to peers, so that old news does not echo between them for ever.
+        Only first-hand knowledge, from the platform's list or the upstream itself,
+        is sent to peers; otherwise they would repeat an old report to each other
+        without end.
         """
         until = now + self.settings.leaving_ttl_s
         self._leaving_until[upstream] = until
@@ -217,16 +223,16 @@
             self._first_hand_leaving_until[upstream] = until
 
     def clear_leaving(self, upstream: UpstreamId) -> None:
-        """Take a newer list's word that an upstream is back."""
+        """Stop treating an upstream as leaving, since a newer list has it as live."""
         self._leaving_until.pop(upstream, None)
         self._first_hand_leaving_until.pop(upstream, None)
 
     def is_leaving(self, upstream: UpstreamId, now: float) -> bool:
-        """Tell whether an upstream should get no new work."""
+        """Return whether an upstream should get no new requests."""
         return self._leaving_until.get(upstream, now) > now
 
     def leaving_upstreams(self, now: float) -> list[UpstreamId]:
-        """Return the upstreams known first hand to be leaving."""
+        """Return the upstreams known first-hand to be leaving."""
         return [
             upstream
             for upstream, until in self._first_hand_leaving_until.items()
--- a/packages/buckthornwall/src/buckthornwall/membership/delay.py
+++ b/packages/buckthornwall/src/buckthornwall/membership/delay.py
@@ -1,4 +1,4 @@
-"""Leases that count from when they were sent, without comparing clocks."""
+"""Estimation of messages' delays, without synchronised clocks."""
 
 from buckthornwall.utils import Incarnation, NodeId
 
@@ -6,14 +6,14 @@
 
 
 class DelayEstimator:
-    """Tells how late a peer's message came.
-
-    A message that was held up, by a cut that healed or by our own freeze, must
-    not renew a lease that its sender has given up on meanwhile. The least
-    difference ever seen between receipt, on our clock, and sending, on the
-    sender's, stands for clocks that differ plus the shortest way; whatever a
-    message takes beyond it is excess delay. Rates of clocks are taken as equal,
-    which the lease's margin covers many times over.
+    """Estimates how much longer than the quickest one a peer's message took.
+
+    A message that was delayed, by a network partition that healed or by a freeze of
+    this process, must not renew a lease that its sender regards as expired. The
+    minimum offset between the time of receipt, on the local clock, and of
+    sending, on the sender's clock, is the clocks' offset plus the shortest transit
+    time; the rest of a message's offset is its excess delay. Clocks are assumed
+    to run at the same rate; the lease's margin covers the error many times over.
     """
 
     def __init__(self) -> None:
@@ -22,21 +22,21 @@
     def excess_delay_s(
         self, node: NodeId, incarnation: Incarnation, sent_at: float, now: float
     ) -> float:
-        """Return the seconds by which a message is later than the quickest.
+        """Return the seconds that a message took beyond the quickest one.
 
         Parameters
         ----------
         node, incarnation
-            The sender; another incarnation has another clock.
+            The sender; each incarnation has its own clock.
         sent_at
-            Seconds on the sender's clock.
+            Time of sending, in seconds on the sender's clock.
         now
-            Seconds on ours.
+            Time of receipt, in seconds on the local clock.
         """
-        difference = now - sent_at
-        known, least = self._min_offsets.get(node, (incarnation, difference))
+        offset = now - sent_at
+        known, min_offset = self._min_offsets.get(node, (incarnation, offset))
         if known != incarnation:
-            least = difference
-        least = min(least, difference)
-        self._min_offsets[node] = (incarnation, least)
-        return difference - least
+            min_offset = offset
+        min_offset = min(min_offset, offset)
+        self._min_offsets[node] = (incarnation, min_offset)
+        return offset - min_offset
--- a/packages/buckthornwall/src/buckthornwall/membership/freeze.py
+++ b/packages/buckthornwall/src/buckthornwall/membership/freeze.py
@@ -1,4 +1,4 @@
-"""Notice that this process was stopped and woke up late."""
+"""Detection of freezes: times during which this process did not run."""
 
 from collections.abc import Callable
 
@@ -8,17 +8,17 @@
 
 
 class FreezeDetector:
-    """Compare successive readings of the clock.
+    """Detects freezes by the gap between successive readings of the clock.
 
-    A task checks several times within `threshold_s`; a longer gap between two
-    checks means that the process did not run, and that whatever it knew of
-    others is old. Decisions check too, so that the first thing done after
-    waking is to notice.
+    A task checks several times within `threshold_s`. A longer gap between two checks
+    means that the process did not run and that its state of other instances is out
+    of date. Decisions check too, so that a freeze is detected before anything else
+    is done after it.
 
     Parameters
     ----------
     clock
-        Source of monotonic time, which runs on while a process is stopped.
+        Source of monotonic time that also advances while the process is stopped.
     threshold_s
         The gap in seconds that counts as a freeze.
     """
@@ -31,7 +31,7 @@
         self.count = 0
 
     def check(self) -> bool:
-        """Note the time; on a gap tell every listener and return True."""
+        """Read the clock; after a freeze call every listener and return True."""
         now = self.clock.now()
         gap = now - self.last_check
         self.last_check = now
--- a/packages/buckthornwall/src/buckthornwall/scheduling/__init__.py
+++ b/packages/buckthornwall/src/buckthornwall/scheduling/__init__.py
@@ -1,8 +1,9 @@
-"""Order of service and the choice of an engine.
+"""Scheduling of requests: the order of service and the choice of an engine.
 
-`queue`, `engines`, `slot_table` and `estimates` hold state, `core` decides
-(`decisions`), `agent` and `entry` are the tasks at the two ends of the messages in
-`buckthornwall.links`.
+`queue`, `engines`, `slot_table` and `estimates` hold the state of a pool's scheduler,
+and `core` makes its `decisions`. `agent` runs the schedulers of this instance; `entry`
+asks them for slots on behalf of the requests that clients send to this instance. The
+messages between the two are in `buckthornwall.links`.
 """
 
 from .agent import SchedulerAgent
--- a/packages/buckthornwall/src/buckthornwall/scheduling/agent.py
+++ b/packages/buckthornwall/src/buckthornwall/scheduling/agent.py
@@ -1,4 +1,4 @@
-"""The task that runs the schedulers of this instance."""
+"""The task that runs the pool schedulers of this instance."""
 
 import math
 from collections.abc import Callable, Iterable
@@ -40,8 +40,15 @@
 class _PoolRole:
     """One pool that this instance schedules, for others or for itself only.
 
-    `lease_renewed_at` holds when each instance last left us its part of the pool,
-    and `leases` under which number.
+    Attributes
+    ----------
+    local
+        Whether it schedules this instance's share only, without any lease.
+    lease_renewed_at, lease_numbers
+        Time of the last renewal and number of the lease, by the instance that
+        issued it.
+    unacknowledged
+        Requests to acknowledge after the next decisions, if they still wait.
     """
 
     scheduler: PoolScheduler
@@ -52,13 +59,13 @@
 
 
 class SchedulerAgent:
-    """Owns every `PoolScheduler` of this instance and feeds it messages.
+    """Runs every `PoolScheduler` of this instance and passes it messages.
 
-    Each entry stands for an equal part of a pool's slots, and leaves it to one
-    scheduler at a time by a short lease, which its report of the slots in use
-    renews. A scheduler gives out no more than the parts left to it, so two
-    schedulers that do not know of each other never give out more than there
-    is, and a new one knows what is in use before it may give out any of it.
+    Each instance has an equal share of a pool's slots and leases it to one scheduler
+    at a time. The lease is short and is renewed by the instance's reports of its
+    slots in use. A scheduler grants no more than the shares leased to it, so two
+    schedulers that do not know of each other never grant more slots than exist, and
+    a new scheduler knows which slots of a share are in use before it may grant any.
     """
 
     def __init__(
@@ -85,19 +92,19 @@
         freeze.listeners.append(self.reset)
 
     def deliver(self, node: NodeId, message: Message) -> None:
-        """Take a message for the task to handle."""
+        """Put a message in the inbox of the task."""
         self.inbox_send.send_nowait((node, message))
 
     def reset(self) -> None:
-        """After a freeze: every view is old, so start with empty ones.
+        """Discard all state after a freeze, since it is out of date.
 
-        Entries repeat what still waits, and say what they still hold.
+        Entry instances resend waiting requests and report their slots in use.
         """
         self.roles.clear()
         self.incarnation = Incarnation(new_id())
 
     def records_changed(self) -> None:
-        """Follow newer records in every pool."""
+        """Apply newer records to every pool."""
         for key, role in list(self.roles.items()):
             for decision in role.scheduler.set_records(self.store.view):
                 self._send_decision(decision, role)
@@ -105,7 +112,7 @@
                 del self.roles[key]
 
     async def run(self) -> None:
-        """Handle messages as they come, and look at deadlines at every tick."""
+        """Handle messages as they arrive, and check deadlines at every tick."""
         next_tick = self.clock.now()
         while True:
             with trio.move_on_after(max(0.0, next_tick - self.clock.now())):
@@ -117,7 +124,7 @@
                 next_tick = self.clock.now() + self.settings.tick_s
 
     async def _receive_batch(self) -> None:
-        """Handle all that has arrived, then decide for the pools it touched."""
+        """Handle all queued messages, then decide for the pools they concern."""
         node, message = await self.inbox.receive()
         self.freeze.check()
         touched = {id(role): role for role in self.handle(node, message)}
@@ -127,7 +134,7 @@
         self.decide(touched.values())
 
     def decide(self, roles: Iterable[_PoolRole]) -> None:
-        """Announce what the schedulers decide, then acknowledge what waits on."""
+        """Send the schedulers' decisions, then acknowledge requests that still wait."""
         now = self.clock.now()
         for role in list(roles):
             for decision in role.scheduler.decide(now):
@@ -138,7 +145,7 @@
             role.unacknowledged.clear()
 
     def handle(self, node: NodeId, message: Message) -> list[_PoolRole]:
-        """Take one message into the state of its pool; return the pools touched."""
+        """Apply one message to the state of its pool; return the pools changed."""
         now = self.clock.now()
         roles = list(self.roles.values())
         if isinstance(message, Enqueue):
@@ -166,7 +173,7 @@
             return []
         role = self.roles.get((message.pool, message.local))
         if role is None and not message.local:
-            return []  # not left to us; the sender finds out whose it is
+            return []  # without a lease; the sender will find the right scheduler
         role = role or self._get_role(message.pool, local=True)
         for decision in role.scheduler.enqueue(node, message, now):
             self._send_decision(decision, role)
@@ -203,7 +210,7 @@
             return []
         sent_at = now - self._excess_delay_s(node, message, now)
         if now - sent_at > self.settings.support_s:
-            return []  # held up for so long that the lease has ended
+            return []  # delayed so long that the lease has expired
         role = self._get_role(message.pool, local=False)
         role.lease_renewed_at[node] = sent_at
         role.lease_numbers[node] = message.lease
@@ -230,7 +237,7 @@
         return touched
 
     def renew_fractions(self) -> None:
-        """Renew the parts we may use, and drop pools without leases."""
+        """Recompute the usable fractions, and drop pools without leases."""
         now = self.clock.now()
         if self.store.view is None:
             return
@@ -240,10 +247,10 @@
                 del self.roles[key]
 
     def resign(self) -> None:
-        """At a planned stop: schedule for nobody else any more.
+        """Stop scheduling for other instances, at a planned stop.
 
-        Whoever waits here hears that its part is its own again, and asks the
-        next scheduler.
+        Each issuer of a lease is told that it has ended, and sends its waiting
+        requests to the next scheduler.
         """
         for pool, local in list(self.roles):
             if not local:
@@ -252,14 +259,14 @@
                     self.send(node, ShareLeaseEnded(pool, role.lease_numbers[node]))
 
     def node_lost(self, node: NodeId) -> None:
-        """Forget what a suspected instance asked for and held."""
+        """Drop the lease, the requests and the slots of a suspected instance."""
         for role in self.roles.values():
             if not role.local and node in role.lease_renewed_at:
                 del role.lease_renewed_at[node]
                 role.scheduler.remove_node(node)
 
     def _update_fraction(self, role: _PoolRole, now: float) -> None:
-        """Set the part of the slots that this scheduler may use."""
+        """Set the fraction of the slots that this scheduler may use."""
         expected = self.members.share_count()
         if role.local:
             role.scheduler.fraction = 1 / expected
--- a/packages/buckthornwall/src/buckthornwall/scheduling/core.py
+++ b/packages/buckthornwall/src/buckthornwall/scheduling/core.py
@@ -1,4 +1,4 @@
-"""The decisions of one pool's scheduler: state and time in, decisions out."""
+"""The scheduler of one pool, as a state machine without I/O."""
 
 import math
 from collections.abc import Callable, Iterable
@@ -27,12 +27,12 @@
 __all__ = ["PoolScheduler"]
 
 STARVATION_S = 10.0
-UNCONFIRMED_GRANT_S = 3.0
+UNCONFIRMED_GRANT_S = 3.0  # then a grant missing from slot reports is freed
 TOTAL_CACHE_S = 0.01
-# A prediction takes it that everyone who waits goes on waiting and that the
-# others' demand lasts; docs/design/scheduling.md says which run chose this.
+# Divisor of the predicted wait, which assumes that all waiting requests stay and that
+# the demand of others lasts. docs/design/scheduling.md names the run it is chosen from.
 WAIT_OVERESTIMATE = 2.0
-# Part of the target for a first token after which a slot is taken for it.
+# Fraction of the first-token target after which an urgent request preempts others.
 OVERDUE_FRACTION = 0.25
 MIN_RETRY_AFTER_S = 1.0
 MAX_RETRY_AFTER_S = 60.0
@@ -41,18 +41,21 @@
 
 
 class PoolScheduler:
-    """Queue and slots of one pool, as one scheduler sees them.
+    """The queue and the slots of one pool, as known to one scheduler.
+
+    The caller passes the time and carries out the decisions returned.
 
     Parameters
     ----------
     pool
-        The model whose engines these are.
+        The model that the engines serve.
     view
         The records in force.
     is_leaving
-        Tells whether an upstream should get no new work, at a time.
+        Returns whether an upstream should get no new requests, at a time.
     capacity
-        How many slots of an engine may be used; see `share_capacity`.
+        Returns the number of usable slots of an engine, given `fraction`, the
+        fraction of the pool that this scheduler may use; see `share_capacity`.
     """
 
     def __init__(
@@ -91,7 +94,7 @@
         return record.share if record else 1.0
 
     def set_records(self, view: RecordView) -> list[RefusalDecision]:
-        """Follow newer records; refuse what waits in a class now deleted."""
+        """Apply newer records; refuse the tickets of deleted classes."""
         self.model: Model | None = view.models.get(self.pool)
         self.teams = view.teams
         records = {engine.id: engine for engine in view.engines_of(self.pool)}
@@ -113,12 +116,12 @@
             for ticket in self.queue.set_classes(view.classes)
         ]
 
-    # What arrives
+    # Incoming messages
 
     def enqueue(self, node: NodeId, message: Enqueue, now: float) -> list[Decision]:
-        """Queue a request, or refuse it at once when it cannot start in time.
+        """Queue a request, or refuse it at once if it cannot start in time.
 
-        A repeated request that was granted already gets the same grant again.
+        A repeated request whose slot is in use gets the same grant again.
         """
         if message.request in self.queue:
             return []
@@ -158,7 +161,7 @@
         if not self.queue.waiting(record.id) and self.queue.is_starving(
             record.id, now, STARVATION_S
         ):
-            return None  # let one wait for the slot that a starving class gets
+            return None  # one request may wait for the slot of a starving class
         wait_s = self.predicted_wait(ticket, now)
         if (
             now + wait_s / WAIT_OVERESTIMATE + self.estimates.first_token_s
@@ -172,7 +175,7 @@
         return min(MAX_RETRY_AFTER_S, max(MIN_RETRY_AFTER_S, math.ceil(wait_s)))
 
     def predicted_wait(self, ticket: Ticket, now: float) -> float:
-        """Predict the seconds until a new ticket of this class would start."""
+        """Return the predicted seconds until a new ticket of this class starts."""
         total = self._total_slots(now)
         urgent = len(self.slots) - self.slots.non_urgent_in_use
         slots = min(self._non_urgent_slots(now), max(1, total - urgent))
@@ -184,12 +187,12 @@
         return (ahead + 1) * service_s / (slots * fraction)
 
     def withdraw(self, request: RequestId) -> None:
-        """Forget a request whose caller is gone."""
+        """Drop a request whose client disconnected, and free its slot."""
         self.queue.remove(request)
         self.slots.withdraw(request)
 
     def release(self, message: Release, now: float) -> None:
-        """Take a slot back and learn from what its entry saw."""
+        """Free a slot and record what the entry instance observed of the engine."""
         found = self.slots.free(message.grant)
         if found is None:
             return
@@ -220,7 +223,7 @@
     def reconcile_slots(
         self, node: NodeId, running: Iterable[ReportedSlot], now: float
     ) -> None:
-        """Make our count of a node's slots agree with what the node says."""
+        """Make the slots known for an instance agree with its slot report."""
         reported_slots = {reported.grant: reported for reported in running}
         for slot in self.slots.of_node(node):
             if slot.grant in reported_slots:
@@ -256,7 +259,7 @@
     def _record_progress(
         self, engine: EngineState, slot: Slot, tokens: int, now: float
     ) -> None:
-        """Charge tokens beyond the estimate and learn the engine's pace."""
+        """Charge tokens beyond the estimate; record the engine's inter-token time."""
         new_tokens = tokens - slot.tokens
         target_s = self._strictest_inter_token_s()
         if new_tokens > 0 and slot.tokens > 0 and target_s is not None:
@@ -273,17 +276,17 @@
             slot.charged_tokens = tokens
 
     def remove_node(self, node: NodeId) -> None:
-        """Drop what a dead or suspected node asked for and held."""
+        """Drop the requests and slots of a dead or suspected instance."""
         for ticket in self.queue.tickets():
             if ticket.node == node:
                 self.queue.remove(ticket.request)
         for slot in self.slots.of_node(node):
             self.slots.free(slot.grant)
 
-    # What is decided
+    # Decisions
 
     def decide(self, now: float) -> list[Decision]:
-        """Refuse what is too late and grant every slot that may be used."""
+        """Refuse expired requests, grant all usable slots, and preempt if overdue."""
         decisions: list[Decision] = [
             RefusalDecision(
                 ticket,
@@ -300,7 +303,7 @@
         return decisions + self._preempt(now)
 
     def _preempt(self, now: float) -> list[Decision]:
-        """Take slots back from the lowest tiers for urgent work that is overdue."""
+        """Preempt slots of the lowest tiers for overdue urgent requests."""
         overdue = self.queue.urgent_overdue(now, OVERDUE_FRACTION)
         if not overdue:
             return []
@@ -312,11 +315,11 @@
         return [PreemptDecision(slot.node, slot.grant) for slot in chosen]
 
     def _next_ticket(self, now: float) -> Ticket | None:
-        """Return who is next, or None when nobody may have a slot now.
+        """Return the ticket to serve next, or None if none may have a slot now.
 
-        Urgent tickets go before all others, with one exception that keeps the
-        lower classes from starving: a class that was served nothing for
-        `STARVATION_S` gets one slot. Others leave the urgent reserve free.
+        Urgent tickets go before all others, with one exception that prevents the
+        starvation of lower classes: a class that got no slot for `STARVATION_S`
+        gets one. Other tickets leave the urgent reserve free.
         """
         if not len(self.queue):
             return None
@@ -334,11 +337,11 @@
         return engine.down_until <= now and not self.is_leaving(engine.id, now)
 
     def _total_slots(self, now: float) -> int:
-        """Return the slots that may be used in all.
+        """Return the number of usable slots of all engines.
 
-        It is worked out anew at most every `TOTAL_CACHE_S`: going through the
-        engines was nine tenths of a decision's time, and nothing that it
-        depends on, but for our fraction, changes faster.
+        It is recomputed at most every `TOTAL_CACHE_S`, or when `fraction` changes:
+        iterating over the engines took nine tenths of a decision's time, and nothing
+        else that it depends on changes faster.
         """
         computed_at, fraction = self._total_computed_for
         if now - computed_at >= TOTAL_CACHE_S or fraction != self.fraction:
@@ -351,13 +354,13 @@
         return self._total
 
     def _non_urgent_slots(self, now: float) -> int:
-        """Return how many slots work that is not urgent may hold in all."""
+        """Return the number of slots that requests that are not urgent may use."""
         total = self._total_slots(now)
         reserve = self.model.urgent_reserve if self.model else 0.0
         return max(1, total - math.ceil(total * reserve))
 
     def _strictest_inter_token_s(self) -> float | None:
-        """Return the strictest inter-token target among what runs here."""
+        """Return the strictest inter-token target of the classes with slots in use."""
         return min(
             (
                 self.queue.record(class_id).targets.inter_token_s
@@ -368,7 +371,7 @@
         )
 
     def _choose_engine(self, ticket: Ticket, now: float) -> EngineState | None:
-        """Return the engine with room that should answer soonest, if any has."""
+        """Return the engine to use, or None if no engine has a free slot."""
         with_room = [
             engine
             for engine in self.engines.values()
--- a/packages/buckthornwall/src/buckthornwall/scheduling/decisions.py
+++ b/packages/buckthornwall/src/buckthornwall/scheduling/decisions.py
@@ -1,4 +1,4 @@
-"""What a scheduler decides."""
+"""The decisions of a pool's scheduler."""
 
 from dataclasses import dataclass
 
@@ -12,7 +12,7 @@
 
 @dataclass(slots=True)
 class GrantDecision:
-    """Give the ticket a slot on the engine."""
+    """Grant the ticket a slot on the engine."""
 
     ticket: Ticket
     engine: UpstreamId
@@ -21,7 +21,7 @@
 
 @dataclass(slots=True)
 class RefusalDecision:
-    """Give the ticket up, with a code and a time to come back."""
+    """Refuse the ticket, with a result code and a time to retry after."""
 
     ticket: Ticket
     code: ResultCode
@@ -30,7 +30,7 @@
 
 @dataclass(slots=True)
 class PreemptDecision:
-    """Ask a node to give a slot back and to resume its answer later."""
+    """Ask an instance to free a slot and to resume its response later."""
 
     node: NodeId
     grant: GrantId
--- a/packages/buckthornwall/src/buckthornwall/scheduling/engines.py
+++ b/packages/buckthornwall/src/buckthornwall/scheduling/engines.py
@@ -1,4 +1,4 @@
-"""What a scheduler knows of one engine, and the limit it has learned."""
+"""The scheduler's state of one engine, with an adaptive concurrency limit."""
 
 import math
 from collections import OrderedDict
@@ -10,17 +10,29 @@
 
 INITIAL_BACKOFF_S = 0.5
 MAX_BACKOFF_S = 8.0
-INTER_TOKEN_EMA_WEIGHT = 0.3  # weight of a new sample in the moving average
+INTER_TOKEN_EMA_WEIGHT = 0.3  # weight of a new sample
 DECREASE_FACTOR = 0.85
 INCREASE_SLOTS = 0.5
 ADJUST_INTERVAL_S = 0.5
-INCREASE_BELOW = 0.8  # below this part of the target the limit may grow
+INCREASE_BELOW = 0.8  # fraction of the target below which the limit may grow
 MAX_PREFIXES = 256
 
 
 @dataclass(slots=True)
 class Slot:
-    """One grant that is in use."""
+    """One slot in use by a granted request.
+
+    Attributes
+    ----------
+    charged_tokens
+        Tokens charged to the class and team so far.
+    tokens
+        Tokens generated, as last reported.
+    progress_at
+        Time of the last report that showed progress, in seconds; 0 before the first.
+    confirmed
+        Whether a slot report of the instance has listed the slot.
+    """
 
     grant: GrantId
     node: NodeId
@@ -41,9 +53,9 @@
 class EngineState:
     """One engine of a pool.
 
-    `limit` is the learned number of slots to use: additive increase while the
-    inter-token time leaves room below the target, multiplicative decrease when
-    it is past the target, as in congestion control [1]_.
+    `limit` is the number of slots to use. It follows additive increase while the
+    inter-token time is well below the target and multiplicative decrease when it
+    exceeds the target, as in congestion control [1]_.
 
     References
     ----------
@@ -65,16 +77,16 @@
     prefixes: OrderedDict[int, None] = field(default_factory=OrderedDict)
 
     def record_failure(self, now: float) -> None:
-        """Keep the engine out for a while, longer after each failure."""
+        """Exclude the engine for a backoff that doubles with each failure."""
         self.down_until = now + self.backoff_s
         self.backoff_s = min(MAX_BACKOFF_S, 2 * self.backoff_s)
 
     def record_success(self) -> None:
-        """Forget earlier failures."""
+        """Reset the backoff."""
         self.backoff_s = INITIAL_BACKOFF_S
 
     def observe_inter_token(self, seconds: float, target_s: float, now: float) -> None:
-        """Take a measured inter-token time; adjust the limit now and then."""
+        """Record an inter-token time; adjust the limit every `ADJUST_INTERVAL_S`."""
         if not self.inter_token_s:
             self.inter_token_s = seconds
         self.inter_token_s += INTER_TOKEN_EMA_WEIGHT * (seconds - self.inter_token_s)
@@ -88,28 +100,29 @@
             self.adjusted_at = now
 
     def remember_prefix(self, prefix: int) -> None:
-        """Note that the engine has just read a prompt with this prefix."""
+        """Record that the engine's cache holds this prefix."""
         self.prefixes[prefix] = None
         self.prefixes.move_to_end(prefix)
         if len(self.prefixes) > MAX_PREFIXES:
             self.prefixes.popitem(last=False)
 
     def receive_load_report(self, in_use: int) -> None:
-        """Take the engine's own, lagging count of requests in it."""
+        """Record the engine's own count of its requests, which lags."""
         self.reported_in_use = in_use
         self.granted_since_report = 0
 
 
 def share_capacity(engine: EngineState, fraction: float) -> int:
-    """Capacity by exact count: the learned limit times our part of the pool."""
+    """Return the engine's limit times the local fraction of the pool, at least 1."""
     return max(1, math.floor(engine.limit * fraction + 1e-9))
 
 
 def reported_capacity(engine: EngineState, fraction: float) -> int:
-    """Capacity by the engine's lagging report, for a node that decides by itself.
+    """Return the slots not used by other instances, from the engine's lagging report.
 
-    What others use is what the engine reported less what we ran then; the
-    pool's fraction plays no part, as in a plain least-loaded balancer.
+    It is for an instance that schedules by itself. The other instances' use is the
+    reported count minus the local requests at that time; `fraction` is ignored, as
+    in a plain least-loaded balancer.
     """
     ours_at_report = len(engine.running) - engine.granted_since_report
     others = max(0, engine.reported_in_use - max(0, ours_at_report))
--- a/packages/buckthornwall/src/buckthornwall/scheduling/entry.py
+++ b/packages/buckthornwall/src/buckthornwall/scheduling/entry.py
@@ -1,4 +1,4 @@
-"""The entry's end of scheduling: ask for a slot, hold it, give it back."""
+"""Requests for slots, on the entry instance: acquire, hold and release."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -44,10 +44,10 @@
 
 @dataclass
 class SlotRequest:
-    """What an entry asks a slot for.
+    """A request for a slot.
 
-    `arrived_at` is when the caller's request came, on the entry's clock;
-    `excluded` are the engines that failed it before.
+    `arrived_at` is the time of arrival of the client's request, on this instance's
+    clock; `excluded` are the engines that it failed on before.
     """
 
     pool: ModelId
@@ -61,10 +61,10 @@
     preemptible: bool = False
 
     def start_deadline(self) -> float:
-        """Return when it is too late to start.
+        """Return the time after which the request is refused.
 
-        An urgent request is given up only when no answer could be whole in
-        time; others when their first token could not be.
+        An urgent or resumed request is refused only when its response cannot
+        complete in time, others when their first token cannot arrive in time.
         """
         targets = self.service_class.targets
         if self.service_class.urgent or self.resumed:
@@ -74,7 +74,7 @@
 
 @dataclass
 class HeldSlot:
-    """A slot that this entry uses now; `preempted` asks to give it back."""
+    """A slot in use by this instance; `preempted` asks to release it."""
 
     grant: GrantId
     engine: UpstreamId
@@ -88,7 +88,7 @@
 
 @dataclass
 class _PendingRequest:
-    """One request on its way to a slot."""
+    """One request that waits for a slot."""
 
     slot_request: SlotRequest
     schedulers_asked: set[tuple[NodeId, bool]] = field(default_factory=set)
@@ -108,14 +108,14 @@
 
 
 class EntryAgent:
-    """Owns the requests that wait here for a slot, and the slots in use here.
+    """Owns the requests of this instance that wait for a slot, and its slots in use.
 
     Parameters
     ----------
     node, clock, settings
         This instance, its clock and the ``[scheduling]`` section.
     store, members, freeze
-        Records in force, the view of the fleet, and our own freezes.
+        Records in force, the known instances, and the detector of freezes.
     send
         Sends a message to an instance, this one included.
     """
@@ -152,19 +152,20 @@
         self.late_grants = 0
         self.decided_locally = 0
 
-    # The request's own task
+    # Called by the task of the request
 
     async def acquire(self, slot_request: SlotRequest) -> HeldSlot:
         """Wait for a slot.
 
-        The request is repeated until a scheduler answers; an urgent one that
-        hears nothing for a moment is decided here, within our own part of the
-        pool. Whatever else was asked meanwhile is withdrawn.
+        The request is resent until a scheduler answers. An urgent one that is not
+        acknowledged within `urgent_ack_s` is also scheduled here, within this
+        instance's share of the pool. The request is then withdrawn from the other
+        schedulers.
 
         Raises
         ------
         Refusal
-            When it is given up, at once and with a time to come back.
+            If the request is refused; raised at once, with a time to retry after.
         """
         request = RequestId(new_id())
         pending = self.pending[request] = _PendingRequest(slot_request)
@@ -176,7 +177,7 @@
             self._check_start_deadline(slot_request)
             return pending.slot
         except BaseException:
-            # The caller went, or we slept, just as the slot came.
+            # The client disconnected, or this process froze, as the slot was granted.
             if pending.slot is not None:
                 self.release(pending.slot, ReleaseKind.UNUSED)
             raise
@@ -210,7 +211,7 @@
             self._decide_locally(request, pending)
 
     def _choose_scheduler(self, pending: _PendingRequest) -> tuple[NodeId, bool]:
-        """Return the scheduler that has our part, or this instance."""
+        """Return the scheduler to ask, and whether it is the local one."""
         pool = pending.slot_request.pool
         holder = self.share_leases.holder(pool)
         return (self.node, True) if holder is None else (holder, False)
@@ -261,12 +262,12 @@
             self.send(node, Withdraw(request, local))
 
     def _check_start_deadline(self, slot_request: SlotRequest) -> None:
-        """Refuse a request that a freeze has made too late to start.
+        """Refuse a request whose start deadline passed during a freeze.
 
         Raises
         ------
         Refusal
-            If its deadline to start has passed.
+            If its start deadline has passed.
         """
         self.freeze.check()
         if self.clock.now() > slot_request.start_deadline():
@@ -279,7 +280,7 @@
         first_token_s: float = 0.0,
         inter_token_s: float = 0.0,
     ) -> None:
-        """Give a slot back to whoever schedules its pool now."""
+        """Release a slot to its scheduler and to the current one of the pool."""
         if self.held.pop(slot.grant, None) is None:
             return
         message = Release(slot.grant, kind, slot.tokens, first_token_s, inter_token_s)
@@ -287,10 +288,10 @@
         for node in {slot.scheduler_node, holder or slot.scheduler_node}:
             self.send(node, message)
 
-    # What arrives
+    # Incoming messages
 
     def handle(self, node: NodeId, message: Message) -> None:
-        """Take one message from a scheduler."""
+        """Handle one message from a scheduler."""
         if isinstance(message, Grant):
             self._receive_grant(node, message)
         elif isinstance(message, EnqueueRefused):
@@ -316,10 +317,10 @@
         pending.notify()
 
     def _receive_grant(self, node: NodeId, message: Grant) -> None:
-        """Take up a grant, unless it is late or no longer wanted."""
+        """Accept a grant, or release it if it is late or no longer needed."""
         self.freeze.check()
         if message.grant in self.held:
-            return  # the same grant, sent again
+            return  # the grant was resent
         pending = self.pending.get(message.request)
         if pending is None or pending.slot is not None:
             self.send(node, Release(message.grant, ReleaseKind.UNUSED))
@@ -346,7 +347,7 @@
         return list(self.store.view.models.values()) if self.store.view else []
 
     def slot_report(self, pool: ModelId) -> SlotReport:
-        """Return what this entry holds of a pool, as a report about no lease."""
+        """Return the report of the slots in use in a pool, without a lease."""
         return SlotReport(
             pool,
             False,
--- a/packages/buckthornwall/src/buckthornwall/scheduling/estimates.py
+++ b/packages/buckthornwall/src/buckthornwall/scheduling/estimates.py
@@ -1,4 +1,4 @@
-"""How long answers of each class take, as they show."""
+"""Estimates of service time and response length, by class."""
 
 from buckthornwall.links import Release
 from buckthornwall.utils import ClassId
@@ -7,18 +7,18 @@
 
 __all__ = ["ServiceEstimates"]
 
-EMA_WEIGHT = 0.1  # weight of a new sample in the moving averages
+EMA_WEIGHT = 0.1  # weight of a new sample
 INITIAL_SERVICE_S = 2.0
 INITIAL_RESPONSE_TOKENS = 100.0
 
 
 class ServiceEstimates:
-    """Moving averages by class.
+    """Exponential moving averages by class.
 
     Attributes
     ----------
     first_token_s : float
-        Seconds from a grant to the first token, over all classes.
+        Seconds from a grant to the first token, averaged over all classes.
     """
 
     def __init__(self) -> None:
@@ -27,15 +27,15 @@
         self._response_tokens: dict[ClassId, float] = {}
 
     def service_s(self, service_class: ClassId) -> float:
-        """Return for how many seconds an answer of a class holds its slot."""
+        """Return the seconds for which a response of a class occupies its slot."""
         return self._service_s.get(service_class, INITIAL_SERVICE_S)
 
     def response_tokens(self, service_class: ClassId) -> float:
-        """Return how many tokens an answer of a class has."""
+        """Return the number of tokens of a response of a class."""
         return self._response_tokens.get(service_class, INITIAL_RESPONSE_TOKENS)
 
     def record(self, slot: Slot, message: Release, now: float) -> None:
-        """Take an answer that is whole."""
+        """Add the sample of a complete response."""
         key = slot.service_class
         service_s = now - slot.granted_at
         _update_average(self._service_s, key, service_s)
--- a/packages/buckthornwall/src/buckthornwall/scheduling/placement.py
+++ b/packages/buckthornwall/src/buckthornwall/scheduling/placement.py
@@ -1,4 +1,4 @@
-"""Which of several engines with room should answer soonest.
+"""Choice of the engine that should respond soonest.
 
 References
 ----------
@@ -20,19 +20,19 @@
 
 
 def fastest_engine(candidates: list[EngineState], prefix: int) -> EngineState:
-    """Return the engine to use.
+    """Return the engine with the lowest expected inter-token time.
 
-    The score is the observed inter-token time grown by the load. It is less
-    for an engine that has the prompt's prefix in cache, and a little less for
-    the prefix's affinity engine by rendezvous hash, while that engine is not loaded past
+    The observed inter-token time is scaled up by the load. It is scaled down for an
+    engine that has the prompt's prefix in its cache, and a little less for the
+    prefix's affinity engine by rendezvous hashing, unless that engine's load exceeds
     a bound [1]_.
 
     Parameters
     ----------
     candidates
-        Engines with room, at least one.
+        Engines with free slots, at least one.
     prefix
-        Hash of the prompt's beginning; 0 for none.
+        Hash of the prompt's prefix; 0 for none.
     """
     if len(candidates) == 1:
         return candidates[0]
@@ -40,8 +40,8 @@
     bound = LOAD_BOUND * mean_load + 1
     affinity_engine = rendezvous_winner(str(prefix), [each.id for each in candidates])
     measured = [each.inter_token_s for each in candidates if each.inter_token_s]
-    # One that was not measured yet is taken to beat the best, or a pool would
-    # never look beyond the first engine it tried.
+    # An engine without a measurement is assumed to be faster than the fastest, or
+    # the scheduler would never try another engine than its first.
     unmeasured_s = UNMEASURED_FACTOR * min(measured, default=DEFAULT_INTER_TOKEN_S)
 
     def score(engine: EngineState) -> float:
--- a/packages/buckthornwall/src/buckthornwall/scheduling/preemption.py
+++ b/packages/buckthornwall/src/buckthornwall/scheduling/preemption.py
@@ -1,4 +1,4 @@
-"""Which slots are taken back for urgent work that is overdue."""
+"""Choice of the slots to preempt for overdue urgent requests."""
 
 from collections.abc import Callable
 
@@ -15,20 +15,20 @@
     overdue: int,
     is_usable: Callable[[EngineState], bool],
 ) -> list[Slot]:
-    """Return the slots to take back, those of the lowest tiers first.
+    """Return the slots to preempt, those of the lowest tiers first.
 
-    The answers are resumed later from what was delivered, so that the cost
-    is reading a prompt again; none is interrupted twice, and the shortest
-    is chosen first, which has the least to read again.
+    A preempted response is resumed later after the tokens already delivered, so the
+    cost is another prefill. No response is preempted twice, and within a tier the
+    shortest is chosen first, since it needs the least prefill.
 
     Parameters
     ----------
     slots, queue
-        What is in use, and the classes.
+        The slots in use, and the queue with the service classes.
     overdue
-        How many urgent requests wait for too long.
+        Number of overdue urgent requests.
     is_usable
-        Tells whether an engine may get new work.
+        Returns whether an engine may get new requests.
     """
     in_use = slots.all()
     wanted = overdue - sum(slot.preempting for _, slot in in_use)
--- a/packages/buckthornwall/src/buckthornwall/scheduling/queue.py
+++ b/packages/buckthornwall/src/buckthornwall/scheduling/queue.py
@@ -1,9 +1,10 @@
 """Weighted fair queueing by tokens, over classes and the teams within them.
 
 Each class, and each team within a class, has a virtual time that advances by
-the tokens it was served divided by its weight; the backlogged one that is
-least far along goes next. This is start-time fair queueing [1]_ with the cost
-charged as it becomes known, since the length of an answer is not.
+the tokens it was served divided by its weight; the backlogged one with the least
+virtual time is served next. This is start-time fair queueing [1]_, except that the
+cost is charged as it becomes known, since the length of a response is not known in
+advance.
 
 References
 ----------
@@ -22,14 +23,15 @@
 
 __all__ = ["FairQueue", "Ticket"]
 
-RECENT_TOKENS_TAU_S = 10.0
+RECENT_TOKENS_TAU_S = 10.0  # time constant of the exponential decay
 
 
 @dataclass(slots=True)
 class Ticket:
-    """What a scheduler knows of one waiting request.
+    """One request waiting in a scheduler's queue.
 
-    Times are on its own clock, but for `request_sent_at`, which is the entry's.
+    Times are on the scheduler's clock, except `request_sent_at`, which is on the
+    clock of the entry instance `node`.
     """
 
     request: RequestId
@@ -58,7 +60,7 @@
 
 @dataclass(slots=True)
 class _ClassQueue:
-    """One class's teams, its virtual time and its recent share of tokens."""
+    """One class's teams, its virtual time and its recently served tokens."""
 
     record: ServiceClass
     virtual_time: float = 0.0
@@ -101,7 +103,7 @@
         self.set_classes(classes)
 
     def set_classes(self, classes: dict[ClassId, ServiceClass]) -> list[Ticket]:
-        """Follow newer records; return the tickets of classes now deleted."""
+        """Apply newer records; return the tickets of deleted classes."""
         orphans = [
             ticket
             for ticket in self._tickets.values()
@@ -119,11 +121,11 @@
         return orphans
 
     def __len__(self) -> int:
-        """Count the waiting tickets."""
+        """Return the number of waiting tickets."""
         return len(self._tickets)
 
     def __contains__(self, request: RequestId) -> bool:
-        """Tell whether the request waits here."""
+        """Return whether the request is in the queue."""
         return request in self._tickets
 
     def tickets(self) -> list[Ticket]:
@@ -131,21 +133,27 @@
         return list(self._tickets.values())
 
     def record(self, class_id: ClassId) -> ServiceClass:
-        """Return the record of a class; KeyError if it was deleted."""
+        """Return the record of a class.
+
+        Raises
+        ------
+        KeyError
+            If the class was deleted.
+        """
         return self._queues[class_id].record
 
     def has_class(self, class_id: ClassId) -> bool:
-        """Tell whether the class is in force."""
+        """Return whether the class is in the records in force."""
         return class_id in self._queues
 
     def record_demand(self, class_id: ClassId, now: float) -> None:
-        """Note that a request of the class came, whatever becomes of it."""
+        """Record that a request of the class arrived, even if it is then refused."""
         queue = self._queues[class_id]
         if queue.unserved_since is None:
             queue.unserved_since = now
 
     def push(self, ticket: Ticket) -> None:
-        """Add a ticket; a resumed one goes before its team's others."""
+        """Add a ticket; a resumed one goes to the head of its team's queue."""
         queue = self._queues[ticket.service_class]
         if not queue.waiting:
             queue.virtual_time = max(queue.virtual_time, self._min_virtual_time())
@@ -172,7 +180,7 @@
         )
 
     def remove(self, request: RequestId) -> Ticket | None:
-        """Take a ticket out, wherever it stands."""
+        """Remove a ticket, wherever it is in its queue."""
         ticket = self._tickets.pop(request, None)
         if ticket is not None:
             queue = self._queues[ticket.service_class]
@@ -181,7 +189,7 @@
         return ticket
 
     def pop_expired(self, now: float) -> list[Ticket]:
-        """Take out the tickets whose deadline to start has passed."""
+        """Remove and return the tickets whose start deadline has passed."""
         expired = []
         while self._deadlines and self._deadlines[0][0] <= now:
             _, request = heapq.heappop(self._deadlines)
@@ -192,7 +200,7 @@
         return expired
 
     def urgent_head(self) -> Ticket | None:
-        """Return the urgent ticket to serve next, leaving it in place."""
+        """Return the urgent ticket to serve next, without removing it."""
         heads = [
             queue.next_team().tickets[0]
             for queue in self._queues.values()
@@ -201,9 +209,10 @@
         return min(heads, key=lambda ticket: ticket.deadline, default=None)
 
     def urgent_overdue(self, now: float, fraction: float) -> int:
-        """Count the urgent tickets that have used up `fraction` of their time.
+        """Return the number of overdue urgent tickets.
 
-        The time is the class's target for the first token.
+        A ticket is overdue once it has waited longer than `fraction` of its class's
+        target for the first token.
         """
         return sum(
             now - ticket.received > fraction * queue.record.targets.first_token_s
@@ -216,8 +225,8 @@
     def non_urgent_head(self, now: float) -> Ticket | None:
         """Return the next ticket of the classes that are not urgent.
 
-        A class below its floor goes first, the least served of them before
-        the others; then the class that is least far along.
+        Classes below their floor go first, ordered by their recent tokens relative
+        to the floor; then the class with the least virtual time.
         """
         queues = [
             queue
@@ -240,12 +249,12 @@
         return (True, queue.virtual_time)
 
     def is_starving(self, class_id: ClassId, now: float, starvation_s: float) -> bool:
-        """Tell whether the class has had demand but no slot for so long."""
+        """Return whether the class has had demand but no slot for `starvation_s`."""
         since = self._queues[class_id].unserved_since
         return since is not None and now - since > starvation_s
 
     def starving_head(self, now: float, starvation_s: float) -> Ticket | None:
-        """Return a ticket of the class that has starved for longest, if any has."""
+        """Return the next ticket of the longest-starving class, or None."""
         queues = [
             queue
             for class_id, queue in self._queues.items()
@@ -262,7 +271,7 @@
     def charge(
         self, class_id: ClassId, team_id: TeamId, tokens: float, now: float
     ) -> None:
-        """Charge tokens, which may be negative to correct an estimate."""
+        """Charge tokens to a class and team; negative ones correct an estimate."""
         queue = self._queues.get(class_id)
         if queue is None:
             return
@@ -274,23 +283,23 @@
             team.virtual_time += tokens / team.share
 
     def record_slot(self, class_id: ClassId) -> None:
-        """Note that the class got a slot."""
+        """Record that the class got a slot."""
         self._queues[class_id].unserved_since = None
 
     def waiting(self, class_id: ClassId) -> int:
-        """Return how many tickets of the class wait."""
+        """Return the number of waiting tickets of the class."""
         return self._queues[class_id].waiting
 
     def tickets_ahead(self, ticket: Ticket) -> tuple[int, float]:
-        """Return what a new ticket of this class and team would wait behind.
+        """Return the backlog and the rate of service of a new ticket's team.
 
         Returns
         -------
         ahead : int
-            Tickets of the same class and team that are waiting.
+            Waiting tickets of the same class and team.
         fraction : float
-            The fraction of the service of non-urgent work that this team can
-            count on while everyone now waiting goes on waiting.
+            The fraction of the service of non-urgent classes that the team gets while
+            all classes and teams that are backlogged now remain so.
         """
         queue = self._queues[ticket.service_class]
         team = queue.teams.get(ticket.team)
@@ -308,5 +317,5 @@
         return ahead, class_fraction * team_share / shares
 
     def waiting_by_class(self) -> dict[ClassId, int]:
-        """Return the number waiting for each class."""
+        """Return the number of waiting tickets by class."""
         return {class_id: queue.waiting for class_id, queue in self._queues.items()}
--- a/packages/buckthornwall/src/buckthornwall/scheduling/share_leases.py
+++ b/packages/buckthornwall/src/buckthornwall/scheduling/share_leases.py
@@ -1,7 +1,7 @@
-"""The entry's leases of its part of each pool.
+"""Leases by which this instance hands its share of each pool to a scheduler.
 
-An entry leaves its part of a pool to one scheduler at a time; until it has
-left it to somebody, or while a lease ends, it decides by itself within it.
+An instance leases its share of a pool's slots to one scheduler at a time. While no
+lease is in force, or while one is ending, it schedules within its share itself.
 """
 
 from collections.abc import Callable
@@ -21,7 +21,19 @@
 
 @dataclass
 class ShareLease:
-    """Whom this entry has left its part of a pool to, and since when."""
+    """The lease of this instance's share of one pool.
+
+    Attributes
+    ----------
+    scheduler
+        The instance that holds the lease.
+    number
+        Number of the lease, unique among those this instance has issued.
+    renewed_at
+        Time of the last renewal, in seconds.
+    ending
+        Whether the end of the lease was requested and not yet confirmed.
+    """
 
     scheduler: NodeId
     number: int
@@ -30,22 +42,22 @@
 
 
 class ShareLeaseManager:
-    """Gives, renews and ends the leases of this entry's parts.
+    """Issues, renews and ends the leases of this instance's shares.
 
     Parameters
     ----------
     node, clock, settings
         This instance, its clock and the ``[scheduling]`` section.
     members
-        The view of the fleet.
+        The known instances.
     send
         Sends a message to an instance, this one included.
     pools
         Returns the pools of the records in force.
     slot_report
-        Returns the report of what this entry holds of a pool.
+        Returns the report of this instance's slots in use in a pool.
     resend_requests
-        Called for a pool whose part has changed hands.
+        Called with a pool when the scheduler of this instance's share changes.
     """
 
     def __init__(
@@ -71,27 +83,27 @@
         self.leases_issued = 0
 
     def holder(self, pool: ModelId) -> NodeId | None:
-        """Return the scheduler that has our part, or None if it is ours."""
+        """Return the scheduler that holds the share, or None if it is not leased."""
         lease = self.leases.get(pool)
         return None if lease is None or lease.ending else lease.scheduler
 
     async def run(self) -> None:
-        """Report the slots in use to the pools' schedulers, again and again."""
+        """Report the slots in use to the pools' schedulers periodically."""
         while True:
             self.renew()
             await trio.sleep(self.settings.holdings_s)
 
     def renew(self) -> None:
-        """Leave our part of each pool to its scheduler, as the fleet looks now."""
+        """Update the lease of each pool to follow the current membership."""
         for model in self.pools():
             self._renew(model.id, model.scheduling is SchedulingMode.POOLED)
             self._report_to_self(model.id)
 
     def _renew(self, pool: ModelId, pooled: bool) -> None:
-        """Renew, end or begin the lease by which a scheduler has our part.
+        """Renew, end or issue the lease of one pool.
 
-        A lease that was given ends when its holder says so, or by time where
-        the holder is not heard; only then may another have our part.
+        A lease ends when its holder confirms the end, or by timeout if the holder
+        does not answer; only then may the share be leased to another scheduler.
         """
         now = self.clock.now()
         winner = self.members.winner(pool) if pooled else None
@@ -106,8 +118,8 @@
             self.receive_lease_ended(lease.scheduler, pool, lease.number)
             return
         if lease is not None and lease.ending:
-            # The fleet looks again as it did. Under a new number, since the
-            # end of the old lease may already be on its way.
+            # The holder is the elected scheduler again. The lease gets a new number,
+            # since the end of the old one may already be in transit.
             lease.ending = False
             lease.number = self._next_number()
             self.resend_requests(pool)
@@ -132,7 +144,7 @@
             self.resend_requests(pool)
 
     def receive_lease_ended(self, node: NodeId, pool: ModelId, number: int) -> None:
-        """Take a scheduler's word that it no longer counts on a lease."""
+        """Handle a scheduler's confirmation that it no longer uses a lease."""
         lease = self.leases.get(pool)
         if lease is None or (lease.scheduler, lease.number) != (node, number):
             return
@@ -141,7 +153,7 @@
         self.renew()
 
     def _report_to_self(self, pool: ModelId) -> None:
-        """Tell our own scheduler what we hold, without a part to go with it."""
+        """Report the slots in use to the local scheduler if it holds no lease."""
         lease = self.leases.get(pool)
         if lease is None or lease.scheduler != self.node:
             slot_report = self.slot_report(pool)
--- a/packages/buckthornwall/src/buckthornwall/scheduling/slot_table.py
+++ b/packages/buckthornwall/src/buckthornwall/scheduling/slot_table.py
@@ -1,4 +1,4 @@
-"""The slots in use at the engines of one pool, and how many each class holds."""
+"""The slots in use at the engines of one pool, and their number by class."""
 
 from collections import Counter
 
@@ -11,14 +11,14 @@
 
 
 class SlotTable:
-    """Slots by grant; each also stands with its engine.
+    """Slots in use by grant; each is also in `EngineState.running`.
 
     Attributes
     ----------
     in_use : collections.Counter
-        Slots by class.
+        Slots in use by class.
     non_urgent_in_use : int
-        Slots of work that is not urgent.
+        Slots in use by requests that are not urgent.
     """
 
     def __init__(self) -> None:
@@ -28,11 +28,11 @@
         self._granted: dict[RequestId, GrantDecision] = {}
 
     def __len__(self) -> int:
-        """Return the slots in use."""
+        """Return the number of slots in use."""
         return len(self._slots)
 
     def __contains__(self, grant: GrantId) -> bool:
-        """Tell whether a grant's slot is in use."""
+        """Return whether a grant's slot is in use."""
         return grant in self._slots
 
     def get(self, grant: GrantId) -> tuple[EngineState, Slot] | None:
@@ -44,18 +44,18 @@
         return list(self._slots.values())
 
     def of_node(self, node: NodeId) -> list[Slot]:
-        """Return the slots that an instance holds."""
+        """Return the slots in use by an instance."""
         return [slot for _, slot in self._slots.values() if slot.node == node]
 
     def occupy(self, engine: EngineState, slot: Slot) -> None:
-        """Take a slot of an engine."""
+        """Add a slot of an engine."""
         engine.running[slot.grant] = slot
         self._slots[slot.grant] = (engine, slot)
         self.non_urgent_in_use += not slot.urgent
         self.in_use[slot.service_class] += 1
 
     def free(self, grant: GrantId) -> tuple[EngineState, Slot] | None:
-        """Give a slot back; return its engine and itself, if it was in use."""
+        """Remove a slot; return its engine and the slot, or None if not in use."""
         found = self._slots.pop(grant, None)
         if found is None:
             return None
@@ -69,17 +69,17 @@
         return found
 
     def record_grant(self, decision: GrantDecision) -> None:
-        """Keep what was granted, for a request that is repeated."""
+        """Record a grant, so that a repeated request gets the same one."""
         self._granted[decision.ticket.request] = decision
 
     def granted(self, request: RequestId) -> GrantDecision | None:
-        """Return what a request was granted, if its slot is still in use."""
+        """Return the grant of a request, or None if its slot is not in use."""
         decision = self._granted.get(request)
         in_use = decision is not None and decision.grant in self._slots
         return decision if in_use else None
 
     def withdraw(self, request: RequestId) -> None:
-        """Give back the slot of a request whose caller is gone."""
+        """Free the slot of a request whose client disconnected."""
         decision = self._granted.pop(request, None)
         if decision is not None:
             self.free(decision.grant)
