--- a/packages/buckthornwall-standins/src/buckthornwall_standins/tests/test_faults.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/tests/test_faults.py
@@ -1,7 +1,7 @@
 """The fault matrix, and a fault planted in the code for each point."""
 
 import pytest
-from buckthornwall.codes import ResultCode, Run, UpstreamError
+from buckthornwall.codes import Executed, ResultCode, UpstreamError
 from buckthornwall.gateway.completions import CompletionHandler
 from buckthornwall.idempotency import BeginResult, KeyLedger
 from buckthornwall.links import NodeState
@@ -83,7 +83,7 @@
 
     def refusal_for(job, error):
         refusal = original(job, error)
-        refusal.run = Run.NO
+        refusal.run = Executed.NO
         return refusal
 
     async def stream(self, *arguments):
--- a/packages/buckthornwall/src/buckthornwall/codes/core.py
+++ b/packages/buckthornwall/src/buckthornwall/codes/core.py
@@ -13,14 +13,14 @@
     "RecordError",
     "Refusal",
     "ResultCode",
-    "Run",
+    "Executed",
     "SettingsError",
     "UpstreamError",
     "render_table",
 ]
 
 
-class Run(Enum):
+class Executed(Enum):
     """Whether the request that an answer refuses was run by an upstream."""
 
     NO = "no"
@@ -238,7 +238,7 @@
         self,
         code: ResultCode,
         detail: str = "",
-        run: Run = Run.NO,
+        run: Executed = Executed.NO,
         retry_after_s: float | None = None,
     ) -> None:
         super().__init__(code, detail)
--- a/packages/buckthornwall/src/buckthornwall/forwarding/attempt.py
+++ b/packages/buckthornwall/src/buckthornwall/forwarding/attempt.py
@@ -27,9 +27,9 @@
 
 MAX_BODY_BYTES = 4 * 2**20
 # How an exchange fails when its upstream ends during it.
-CONNECTION_LOST = frozenset({ExchangeFailure.RESET, ExchangeFailure.ENDED})
+CONNECTION_LOST = frozenset({ExchangeFailure.RESET, ExchangeFailure.CLOSED})
 # Heads that are read to find the reply to this request. If all name other requests, the
-# exchange counts as garbled.
+# exchange counts as malformed.
 MAX_FOREIGN_REPLIES = 2
 
 
@@ -149,7 +149,7 @@
                 AttemptEnd.BROKEN, error.detail, failure=error.failure
             )
         except trio.TooSlowError:
-            failure = ExchangeFailure.SILENT
+            failure = ExchangeFailure.TIMED_OUT
             return None, AttemptResult(
                 AttemptEnd.BROKEN, failure.value, failure=failure
             )
@@ -182,7 +182,7 @@
             if reply.request_id in ("", self.request.id):
                 return reply
             await connection.skip_response()
-        raise ExchangeError(ExchangeFailure.GARBLED, "replies to other requests")
+        raise ExchangeError(ExchangeFailure.MALFORMED, "replies to other requests")
 
     async def _handle_reply(
         self,
@@ -212,7 +212,7 @@
         while data := await connection.receive_data():
             body += data
             if len(body) > MAX_BODY_BYTES:
-                raise ExchangeError(ExchangeFailure.GARBLED, "reply too large")
+                raise ExchangeError(ExchangeFailure.MALFORMED, "reply too large")
         return bytes(body)
 
     async def _relay_events(
--- a/packages/buckthornwall/src/buckthornwall/forwarding/forwarder.py
+++ b/packages/buckthornwall/src/buckthornwall/forwarding/forwarder.py
@@ -4,7 +4,7 @@
 
 import trio
 
-from buckthornwall.codes import Refusal, ResultCode, Run
+from buckthornwall.codes import Executed, Refusal, ResultCode
 from buckthornwall.http1 import ResponseAborted, ResponseWriter
 from buckthornwall.pools import (
     Choice,
@@ -396,10 +396,10 @@
     ) -> None:
         """Send the refusal of a request as its response."""
         status = refusal.code.status
-        if refusal.run is not Run.NO and status in NOT_RUN_STATUSES:
+        if refusal.run is not Executed.NO and status in NOT_RUN_STATUSES:
             status = BAD_GATEWAY
         headers = [(b"Content-Type", b"application/json")]
-        if refusal.run is Run.NO and refusal.retry_after_s is not None:
+        if refusal.run is Executed.NO and refusal.retry_after_s is not None:
             headers.append((b"Retry-After", b"%.2f" % refusal.retry_after_s))
         body = {
             "code": refusal.code.number,
--- a/packages/buckthornwall/src/buckthornwall/forwarding/job.py
+++ b/packages/buckthornwall/src/buckthornwall/forwarding/job.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass, field
 
-from buckthornwall.codes import Run
+from buckthornwall.codes import Executed
 from buckthornwall.pools import Choice, Overload, RequestTraits
 from buckthornwall.quarantine import Fingerprint
 from buckthornwall.routing import Resolution, RoutedRequest
@@ -49,6 +49,6 @@
     detail: str = ""
 
     @property
-    def run(self) -> Run:
+    def run(self) -> Executed:
         """Whether any attempt may have run."""
-        return Run.UNKNOWN if self.runs else Run.NO
+        return Executed.UNKNOWN if self.runs else Executed.NO
--- a/packages/buckthornwall/src/buckthornwall/gateway/app.py
+++ b/packages/buckthornwall/src/buckthornwall/gateway/app.py
@@ -5,7 +5,7 @@
 import trio
 
 from buckthornwall.admission import Admission
-from buckthornwall.codes import Refusal, ResultCode, Run
+from buckthornwall.codes import Executed, Refusal, ResultCode
 from buckthornwall.telemetry import Metrics, log_event
 from buckthornwall.utils import ConfigItem, ConfigNamespace
 
@@ -102,7 +102,9 @@
         except Exception as error:
             # The last resort: a fault of ours must not leave a caller waiting.
             log_event("internal_error", "ERROR", detail=repr(error))
-            refusal = Refusal(ResultCode.UPSTREAM_BROKEN, "internal error", Run.UNKNOWN)
+            refusal = Refusal(
+                ResultCode.UPSTREAM_BROKEN, "internal error", Executed.UNKNOWN
+            )
             await self._refuse(exchange, refusal)
 
     async def _refuse(self, exchange: Exchange, refusal: Refusal) -> None:
--- a/packages/buckthornwall/src/buckthornwall/gateway/job.py
+++ b/packages/buckthornwall/src/buckthornwall/gateway/job.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from buckthornwall.admission import AdmittedRequest
-from buckthornwall.codes import Refusal, ResultCode, Run
+from buckthornwall.codes import Executed, Refusal, ResultCode
 
 from .answer import Answer
 
@@ -34,11 +34,11 @@
     may_have_run: bool = False
 
     @property
-    def run(self) -> Run:
+    def run(self) -> Executed:
         """Whether any attempt so far has run, as far as can be told."""
         if self.answer.tokens:
-            return Run.YES
-        return Run.UNKNOWN if self.may_have_run else Run.NO
+            return Executed.YES
+        return Executed.UNKNOWN if self.may_have_run else Executed.NO
 
     @property
     def resumable(self) -> bool:
--- a/packages/buckthornwall/src/buckthornwall/gateway/services.py
+++ b/packages/buckthornwall/src/buckthornwall/gateway/services.py
@@ -3,7 +3,7 @@
 from urllib.parse import quote
 
 from buckthornwall.admission import Admission, AdmittedRequest, TeamConcurrencyLimiter
-from buckthornwall.codes import Refusal, ResultCode, Run, UpstreamError
+from buckthornwall.codes import Executed, Refusal, ResultCode, UpstreamError
 from buckthornwall.idempotency import CallRequest, IdempotencyAgent, StoredOutcome
 from buckthornwall.records import TargetKind, Upstream
 from buckthornwall.telemetry import Tracing
@@ -145,7 +145,7 @@
             try:
                 return await self._call_some(request, excluded)
             except UpstreamError as error:
-                run = Run.UNKNOWN if error.sent else Run.NO
+                run = Executed.UNKNOWN if error.sent else Executed.NO
                 if len(excluded) > 1 or not self.budget.spend():
                     raise Refusal(error.code, error.detail, run, 1.0) from error
 
--- a/packages/buckthornwall/src/buckthornwall/gateway/tests/test_completions.py
+++ b/packages/buckthornwall/src/buckthornwall/gateway/tests/test_completions.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 
 from buckthornwall.admission import Admission, AdmittedRequest
-from buckthornwall.codes import Refusal, ResultCode, Run, UpstreamError
+from buckthornwall.codes import Executed, Refusal, ResultCode, UpstreamError
 from buckthornwall.gateway.answer import Answer
 from buckthornwall.gateway.completions import CompletionHandler
 from buckthornwall.gateway.job import CHAT_PATH, CompletionJob, check_body
@@ -72,9 +72,9 @@
 @pytest.mark.parametrize(
     ("failures", "expected"),
     [
-        ((UNSENT, UNSENT), Run.NO),
-        ((SENT, UNSENT), Run.UNKNOWN),
-        ((UNSENT, SENT), Run.UNKNOWN),
+        ((UNSENT, UNSENT), Executed.NO),
+        ((SENT, UNSENT), Executed.UNKNOWN),
+        ((UNSENT, SENT), Executed.UNKNOWN),
     ],
 )
 async def test_not_run_is_said_only_if_no_attempt_can_have_run(run, failures, expected):
@@ -94,7 +94,7 @@
     job.answer.tokens = 3
     with pytest.raises(Refusal) as caught:
         await run(SENT)
-    assert caught.value.run is Run.YES
+    assert caught.value.run is Executed.YES
 
 
 def test_a_resumed_attempt_goes_on_from_what_was_delivered(job, store):
--- a/packages/buckthornwall/src/buckthornwall/http1/client.py
+++ b/packages/buckthornwall/src/buckthornwall/http1/client.py
@@ -133,14 +133,14 @@
         Raises
         ------
         ExchangeError
-            RESET, ENDED or GARBLED.
+            RESET, CLOSED or MALFORMED.
         """
         while True:
             event = await self._next_event()
             if isinstance(event, h11.Response):
                 return ResponseHead(event.status_code, list(event.headers))
             if not isinstance(event, h11.InformationalResponse):
-                raise ExchangeError(ExchangeFailure.ENDED, "before a reply")
+                raise ExchangeError(ExchangeFailure.CLOSED, "before a reply")
 
     async def receive_data(self) -> bytes:
         """Return the next bytes of the body, or b'' after the last.
@@ -148,7 +148,7 @@
         Raises
         ------
         ExchangeError
-            RESET, ENDED or GARBLED: the body is not whole.
+            RESET, CLOSED or MALFORMED: the body is not whole.
         """
         while True:
             event = await self._next_event()
@@ -163,7 +163,7 @@
         Raises
         ------
         ExchangeError
-            RESET, ENDED or GARBLED.
+            RESET, CLOSED or MALFORMED.
         """
         while await self.receive_data():
             pass
@@ -173,7 +173,7 @@
         if rest:
             self.parser.receive_data(rest)
         if ended:
-            raise ExchangeError(ExchangeFailure.ENDED, "after a foreign reply")
+            raise ExchangeError(ExchangeFailure.CLOSED, "after a foreign reply")
 
     def is_reusable(self) -> bool:
         """Tell whether the whole reply was read and nothing came after it."""
@@ -191,9 +191,11 @@
                 if event is h11.NEED_DATA:
                     self.parser.receive_data(await self.sock.recv(RECEIVE_BYTES))
                 elif isinstance(event, h11.ConnectionClosed):
-                    raise ExchangeError(ExchangeFailure.ENDED)
+                    raise ExchangeError(ExchangeFailure.CLOSED)
                 elif event is h11.PAUSED:
-                    raise ExchangeError(ExchangeFailure.GARBLED, "bytes after a reply")
+                    raise ExchangeError(
+                        ExchangeFailure.MALFORMED, "bytes after a reply"
+                    )
                 else:
                     return event
         except (OSError, trio.ClosedResourceError) as error:
@@ -201,5 +203,5 @@
         except h11.RemoteProtocolError as error:
             if self.parser.trailing_data[1]:
                 detail = "before the reply was whole"
-                raise ExchangeError(ExchangeFailure.ENDED, detail) from error
-            raise ExchangeError(ExchangeFailure.GARBLED, str(error)) from error
+                raise ExchangeError(ExchangeFailure.CLOSED, detail) from error
+            raise ExchangeError(ExchangeFailure.MALFORMED, str(error)) from error
--- a/packages/buckthornwall/src/buckthornwall/http1/failures.py
+++ b/packages/buckthornwall/src/buckthornwall/http1/failures.py
@@ -12,9 +12,9 @@
 
     UNREACHABLE = "unreachable"  # no connection was made
     RESET = "reset"  # the connection broke off
-    ENDED = "ended"  # the server closed before the reply was whole
-    GARBLED = "garbled"  # the bytes are no HTTP
-    SILENT = "silent"  # nothing came in time
+    CLOSED = "ended"  # the server closed before the reply was whole
+    MALFORMED = "garbled"  # the bytes are no HTTP
+    TIMED_OUT = "silent"  # nothing came in time
 
 
 class ExchangeError(UpstreamError):
--- a/packages/buckthornwall/src/buckthornwall/http1/tests/test_client.py
+++ b/packages/buckthornwall/src/buckthornwall/http1/tests/test_client.py
@@ -59,8 +59,8 @@
 @pytest.mark.parametrize(
     ("reply", "failure"),
     [
-        (b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok", ExchangeFailure.ENDED),
-        (b"\x00\x01\x02 nonsense\r\n\r\n", ExchangeFailure.GARBLED),
+        (b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok", ExchangeFailure.CLOSED),
+        (b"\x00\x01\x02 nonsense\r\n\r\n", ExchangeFailure.MALFORMED),
         (None, ExchangeFailure.RESET),
     ],
 )
--- a/packages/buckthornwall/src/buckthornwall/idempotency/agent.py
+++ b/packages/buckthornwall/src/buckthornwall/idempotency/agent.py
@@ -9,7 +9,7 @@
 
 import trio
 
-from buckthornwall.codes import Refusal, ResultCode, Run, UpstreamError
+from buckthornwall.codes import Executed, Refusal, ResultCode, UpstreamError
 from buckthornwall.links import (
     CallForward,
     CallOutcome,
@@ -166,7 +166,7 @@
         if outcome is not None:
             return outcome
         _raise_if_refused(BeginResult(ledger.state(serial).name.lower()))
-        raise Refusal(ResultCode.OUTCOME_UNKNOWN, run=Run.UNKNOWN)
+        raise Refusal(ResultCode.OUTCOME_UNKNOWN, run=Executed.UNKNOWN)
 
     async def _execute(
         self,
@@ -254,7 +254,7 @@
         forwarded: _PendingForward,
         deadline: float,
     ) -> None:
-        unknown = Refusal(ResultCode.OUTCOME_UNKNOWN, run=Run.UNKNOWN)
+        unknown = Refusal(ResultCode.OUTCOME_UNKNOWN, run=Executed.UNKNOWN)
         if self._has_owner_ended(key) or self.clock.now() >= deadline:
             raise unknown
         holder = self._holder(key)
@@ -316,7 +316,7 @@
         key = self.key_codec.decode(message.key)
         if key is None:
             code = ResultCode.KEY_FOREIGN
-            return CallOutcome(message.call, code.number, run=Run.NO.value)
+            return CallOutcome(message.call, code.number, run=Executed.NO.value)
         owner = (key.owner, key.incarnation)
         ledger = self.ledgers.get(owner)
         if ledger is None:
@@ -345,16 +345,16 @@
             self.send(node, LedgerMoved(*owner, self.successors[owner]))
             return None
         code = ResultCode.OUTCOME_UNKNOWN
-        return CallOutcome(call, code.number, run=Run.UNKNOWN.value)
+        return CallOutcome(call, code.number, run=Executed.UNKNOWN.value)
 
 
 def _raise_if_refused(result: BeginResult) -> None:
     refusals = {
-        BeginResult.UNKNOWN: (ResultCode.OUTCOME_UNKNOWN, Run.UNKNOWN),
-        BeginResult.VOID: (ResultCode.KEY_VOID, Run.NO),
-        BeginResult.REUSED: (ResultCode.KEY_REUSED, Run.NO),
-        BeginResult.EXPIRED: (ResultCode.KEY_EXPIRED, Run.UNKNOWN),
-        BeginResult.NOT_ISSUED: (ResultCode.KEY_FOREIGN, Run.NO),
+        BeginResult.UNKNOWN: (ResultCode.OUTCOME_UNKNOWN, Executed.UNKNOWN),
+        BeginResult.VOID: (ResultCode.KEY_VOID, Executed.NO),
+        BeginResult.REUSED: (ResultCode.KEY_REUSED, Executed.NO),
+        BeginResult.EXPIRED: (ResultCode.KEY_EXPIRED, Executed.UNKNOWN),
+        BeginResult.NOT_ISSUED: (ResultCode.KEY_FOREIGN, Executed.NO),
     }
     if result in refusals:
         code, run = refusals[result]
@@ -364,7 +364,7 @@
 def _to_stored_outcome(outcome: CallOutcome) -> StoredOutcome:
     if outcome.code:
         code = CODE_BY_NUMBER.get(outcome.code, ResultCode.OUTCOME_UNKNOWN)
-        run = Run(outcome.run) if outcome.run else Run.UNKNOWN
+        run = Executed(outcome.run) if outcome.run else Executed.UNKNOWN
         raise Refusal(code, outcome.detail, run)
     headers = [(name, value) for name, value in outcome.headers]
     return StoredOutcome(outcome.status, headers, outcome.body)
