--- a/packages/buckthornwall/src/buckthornwall/pools/__init__.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/__init__.py
@@ -12,13 +12,13 @@
 `rate_limit`     rate limit of one upstream over all instances
 `rate_limits`    rate limits of all upstreams, and the local shares
 `limit_share`    shares of the instances in the rate limit of an upstream
-`fleet_memory`   instances that were live lately
+`fleet_memory`   instances that were live recently
 `limit_queue`    queue for the tokens of a pool whose upstreams are all limited
 `view`           all of these for one upstream
 `table`          views by upstream; adopts registrations
 `reserved`       engines reserved for pause-sensitive streams
 `placement`      choice of an upstream for a request
-`ledger`         requests admitted and refused lately, by rank
+`ledger`         requests admitted and refused recently, by rank
 `overload`       limits of the expected wait, and the delay of retries
 `traits`         properties of a request that decisions depend on
 `expectation`    expected time to the first token
--- a/packages/buckthornwall/src/buckthornwall/pools/expectation.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/expectation.py
@@ -23,7 +23,7 @@
 
 
 def calibration_factor(pools: PoolTable, traits: RequestTraits) -> float:
-    """Return the factor from a count-based wait to the wait observed lately."""
+    """Return the factor from a count-based wait to the wait observed recently."""
     resolution = traits.resolution
     return pools.wait_calibration(resolution.pool.id).factor(resolution.rank)
 
--- a/packages/buckthornwall/src/buckthornwall/pools/fleet_memory.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/fleet_memory.py
@@ -1,4 +1,4 @@
-"""Remember the instances that were live lately, for shares of rate limits.
+"""Remember the instances that were live recently, for shares of rate limits.
 
 An instance that is partitioned from its peers, or has just started, sees only itself.
 If each such instance took the whole rate limit of an upstream as its share, together
@@ -22,7 +22,7 @@
 
 
 class FleetMemory:
-    """The instances that were live lately, as known to one of them.
+    """The instances that were live recently, as known to one of them.
 
     Parameters
     ----------
@@ -54,7 +54,7 @@
                 del seen[name]
 
     def recent(self, fleet: Fleet, now: float) -> Fleet:
-        """Return the fleet with all instances that were live lately.
+        """Return the fleet with all instances that were live recently.
 
         Parameters
         ----------
--- a/packages/buckthornwall/src/buckthornwall/pools/ledger.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/ledger.py
@@ -1,4 +1,4 @@
-"""Keep the requests that one instance lately admitted and refused, by rank.
+"""Keep the requests that one instance recently admitted and refused, by rank.
 
 Whether a request is late depends on its own target. That alone would refuse urgent
 requests at waits at which less urgent ones with a longer target are still admitted, so
--- a/packages/buckthornwall/src/buckthornwall/pools/prefix_updates.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/prefix_updates.py
@@ -2,8 +2,8 @@
 
 One instance sees only its share of the prompts: most prompts that are the first of
 their prefix from this instance are not the first on that engine. An update costs some
-bytes per prompt. Without updates an instance cannot tell a segment that another one
-had cached from one that no engine has prefilled.
+bytes per prompt. Without updates, a segment that no engine has prefilled looks like a
+cached one.
 """
 
 import itertools
@@ -29,7 +29,7 @@
 
 
 class PrefixUpdates:
-    """Segments sent to engines lately, each repeated in messages for a while.
+    """Segments sent to engines recently, each repeated in messages for a while.
 
     Parameters
     ----------
--- a/packages/buckthornwall/src/buckthornwall/pools/refusal.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/refusal.py
@@ -23,7 +23,7 @@
     """Why a request is refused for overload."""
 
     LATE = "late"  # its first token would come too late
-    YIELDS = "yields"  # more urgent requests were refused lately
+    YIELDS = "yields"  # more urgent requests were refused recently
 
 
 @dataclass(frozen=True, slots=True)
@@ -135,14 +135,14 @@
 
 
 def _should_defer(pools: PoolTable, traits: RequestTraits, now: float) -> bool:
-    """Return whether a request yields to more urgent ones that were refused lately."""
+    """Return whether a request yields to more urgent ones that were refused recently."""
     resolution = traits.resolution
     ledger = pools.ledger(resolution.pool.id)
     return ledger.should_defer(resolution.rank, traits.prompt.prompt_tokens, now)
 
 
 def has_deficit(pools: PoolTable, traits: RequestTraits, now: float) -> bool:
-    """Return whether less urgent requests were admitted lately in place of this one.
+    """Return whether less urgent requests were admitted recently in place of this one.
 
     Admissions of the peers count too, as the pending prefill on the engines, since an
     instance with few requests may have admitted none. The tokens refused by all
