--- a/packages/buckthornwall/src/buckthornwall/membership/delay.py
+++ b/packages/buckthornwall/src/buckthornwall/membership/delay.py
@@ -9,11 +9,12 @@
     """Estimates how much longer than the quickest one a peer's message took.
 
     A message that was delayed, by a network partition that healed or by a freeze of
-    this process, must not renew a lease that its sender regards as expired. The
-    minimum offset between the time of receipt, on the local clock, and of
-    sending, on the sender's clock, is the clocks' offset plus the shortest transit
-    time; the rest of a message's offset is its excess delay. Clocks are assumed
-    to run at the same rate; the lease's margin covers the error many times over.
+    this process, must not renew a lease that its sender regards as expired. A
+    message's offset is its time of receipt, on the local clock, minus its time of
+    sending, on the sender's clock. The minimum over all messages is the difference
+    of the clocks plus the shortest transit time, and what a message's offset exceeds
+    it by is the excess delay. Clocks are assumed to run at the same rate; the lease's
+    margin covers the error many times over.
     """
 
     def __init__(self) -> None:
--- a/packages/buckthornwall/src/buckthornwall/membership/tests/test_membership.py
+++ b/packages/buckthornwall/src/buckthornwall/membership/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""Tests of the table of members, of freezes and of delays."""
+"""Tests of the member table, freeze detection and delay estimation."""
 
 import pytest
 
@@ -20,45 +20,45 @@
     return table
 
 
-def heard(table, node, now, state=NodeState.READY, incarnation=1):
+def record_heartbeat(table, node, now, state=NodeState.READY, incarnation=1):
     return table.record_heartbeat(node, incarnation, state, "z", now)
 
 
-def test_a_listed_member_is_live_once_it_is_heard(table):
+def test_listed_member_is_not_live_before_its_first_heartbeat(table):
     assert table.live() == ["a"]
-    assert heard(table, "b", 1.0)
+    assert record_heartbeat(table, "b", 1.0)
     assert sorted(table.live()) == ["a", "b"]
     assert table.share_count() == 3
 
 
-def test_a_silent_member_is_suspected_but_keeps_its_part_while_listed(table):
-    heard(table, "b", 0.0)
+def test_suspected_member_keeps_its_share_while_listed(table):
+    record_heartbeat(table, "b", 0.0)
     assert table.expire(1.0) == []
     assert table.expire(3.0) == ["b"]
     assert table.live() == ["a"]
     assert table.share_count() == 3
 
 
-def test_a_member_that_the_list_drops_and_nobody_hears_is_forgotten(table):
+def test_unlisted_member_without_heartbeats_is_removed(table):
     table.apply_list({"a": PeerAddress("a", "127.0.0.1:1", "z")}, 100.0)
     assert table.share_count() == 1
 
 
-def test_leaving_is_believed_at_once(table):
-    heard(table, "b", 0.0)
-    heard(table, "c", 0.0)
+def test_leaving_member_holds_no_role(table):
+    record_heartbeat(table, "b", 0.0)
+    record_heartbeat(table, "c", 0.0)
     winner = next(role for role in map(str, range(50)) if table.winner(role) == "b")
-    heard(table, "b", 0.1, NodeState.LEAVING)
+    record_heartbeat(table, "b", 0.1, NodeState.LEAVING)
     assert table.winner(winner) != "b"
 
 
-def test_after_a_freeze_nobody_counts_as_heard(table):
-    heard(table, "b", 0.0)
+def test_no_member_is_live_after_freeze(table):
+    record_heartbeat(table, "b", 0.0)
     table.suspect_all(0.1)
     assert table.live() == ["a"]
 
 
-def test_second_hand_news_of_a_leaving_upstream_is_not_passed_on(table):
+def test_second_hand_report_of_leaving_upstream_is_not_relayed(table):
     table.mark_leaving("e1", 0.0, first_hand=True)
     table.mark_leaving("e2", 0.0, first_hand=False)
     assert table.is_leaving("e1", 1.0)
@@ -67,19 +67,19 @@
     assert not table.is_leaving("e2", 100.0)
 
 
-def test_a_gap_between_looks_is_a_freeze(clock):
-    woken = []
+def test_gap_between_checks_is_a_freeze(clock):
+    freezes_at = []
     detector = FreezeDetector(clock, 1.0)
-    detector.listeners.append(lambda: woken.append(clock.now()))
+    detector.listeners.append(lambda: freezes_at.append(clock.now()))
     clock.time += 0.9
     assert not detector.check()
     clock.time += 5.0
     assert detector.check()
-    assert woken == [clock.now()]
+    assert freezes_at == [clock.now()]
     assert not detector.check()
 
 
-def test_lateness_is_what_a_message_took_beyond_the_quickest():
+def test_excess_delay_is_relative_to_quickest_message():
     delays = DelayEstimator()
     assert delays.excess_delay_s("b", 1, sent_at=1000.0, now=10.0) == 0
     assert delays.excess_delay_s("b", 1, sent_at=1001.0, now=14.0) == 3.0
@@ -87,7 +87,7 @@
     assert delays.excess_delay_s("b", 1, sent_at=1003.0, now=13.0) == 0.5
 
 
-def test_another_incarnation_has_another_clock():
+def test_excess_delay_of_new_incarnation_starts_anew():
     delays = DelayEstimator()
     delays.excess_delay_s("b", 1, sent_at=1000.0, now=10.0)
     assert delays.excess_delay_s("b", 2, sent_at=5.0, now=11.0) == 0
--- a/packages/buckthornwall/src/buckthornwall/scheduling/core.py
+++ b/packages/buckthornwall/src/buckthornwall/scheduling/core.py
@@ -30,7 +30,7 @@
 UNCONFIRMED_GRANT_S = 3.0  # then a grant missing from slot reports is freed
 TOTAL_CACHE_S = 0.01
 # Divisor of the predicted wait, which assumes that all waiting requests stay and that
-# the demand of others lasts. docs/design/scheduling.md names the run it is chosen from.
+# the demand of others lasts. docs/design/scheduling.md names the run that decided it.
 WAIT_OVERESTIMATE = 2.0
 # Fraction of the first-token target after which an urgent request preempts others.
 OVERDUE_FRACTION = 0.25
@@ -372,14 +372,14 @@
 
     def _choose_engine(self, ticket: Ticket, now: float) -> EngineState | None:
         """Return the engine to use, or None if no engine has a free slot."""
-        with_room = [
+        available = [
             engine
             for engine in self.engines.values()
             if self._is_usable(engine, now)
             and len(engine.running) < self.capacity(engine, self.fraction)
         ]
-        not_excluded = [each for each in with_room if each.id not in ticket.excluded]
-        candidates = not_excluded or with_room
+        not_excluded = [each for each in available if each.id not in ticket.excluded]
+        candidates = not_excluded or available
         if not candidates:
             return None
         return fastest_engine(candidates, ticket.prefix)
--- a/packages/buckthornwall/src/buckthornwall/scheduling/tests/test_entry.py
+++ b/packages/buckthornwall/src/buckthornwall/scheduling/tests/test_entry.py
@@ -1,4 +1,4 @@
-"""Tests of the entry's end: waiting for a slot, late grants, giving back."""
+"""Tests of the entry instance: waiting for slots, late grants, releases."""
 
 import pytest
 import trio
@@ -65,13 +65,13 @@
 
 
 async def answer(entry, sent, make):
-    """Answer the first request that was sent, once it was."""
+    """Answer the first request sent, with the message that `make` returns."""
     while not of_kind(sent, Enqueue):
         await trio.sleep(0.001)
     entry.handle(SCHEDULER, make(of_kind(sent, Enqueue)[0]))
 
 
-async def test_a_grant_is_taken_up_and_given_back(entry, sent, autojump_clock):
+async def test_granted_slot_is_reported_until_released(entry, sent, autojump_clock):
     async with trio.open_nursery() as nursery:
         nursery.start_soon(answer, entry, sent, grant_for)
         slot = await entry.acquire(slot_request(entry))
@@ -83,7 +83,7 @@
     assert entry.slot_report("m").running == []
 
 
-async def test_a_refusal_is_final_at_once(entry, sent, autojump_clock):
+async def test_refusal_is_raised_at_once(entry, sent, autojump_clock):
     def refuse(enqueue):
         return EnqueueRefused(enqueue.request, ResultCode.OVERLOADED.number, 4.0)
 
@@ -96,9 +96,7 @@
     assert trio.current_time() < 0.1
 
 
-async def test_a_late_grant_goes_back_and_the_request_is_repeated(
-    entry, sent, autojump_clock
-):
+async def test_late_grant_is_released_and_request_resent(entry, sent, autojump_clock):
     async def late_then_good():
         while not of_kind(sent, Enqueue):
             await trio.sleep(0.001)
@@ -117,7 +115,7 @@
     assert entry.late_grants == 1
 
 
-async def test_urgent_work_is_decided_here_when_the_scheduler_is_silent(
+async def test_urgent_request_is_scheduled_locally_without_acknowledgement(
     entry, sent, autojump_clock
 ):
     async def decide():
@@ -133,7 +131,7 @@
     assert (SCHEDULER, Withdraw(of_kind(sent, Enqueue)[0].request)) in sent
 
 
-async def test_other_work_waits_for_its_scheduler_until_its_deadline(
+async def test_non_urgent_request_is_never_scheduled_locally(
     entry, sent, autojump_clock
 ):
     with pytest.raises(Refusal) as caught:
@@ -143,7 +141,7 @@
     assert not any(message.local for message in of_kind(sent, Enqueue))
 
 
-async def test_a_slot_that_comes_as_the_caller_goes_is_given_back(
+async def test_slot_granted_as_client_disconnects_is_released(
     entry, sent, autojump_clock
 ):
     with trio.CancelScope() as scope:
@@ -160,7 +158,9 @@
     assert of_kind(sent, Release)[-1].kind is ReleaseKind.UNUSED
 
 
-async def test_a_caller_that_goes_withdraws_its_request(entry, sent, autojump_clock):
+async def test_request_is_withdrawn_when_client_disconnects(
+    entry, sent, autojump_clock
+):
     with trio.move_on_after(0.05):
         await entry.acquire(slot_request(entry))
     assert of_kind(sent, Withdraw)
--- a/packages/buckthornwall/src/buckthornwall/scheduling/tests/test_share_leases.py
+++ b/packages/buckthornwall/src/buckthornwall/scheduling/tests/test_share_leases.py
@@ -1,4 +1,4 @@
-"""Tests of the leases of an entry's part."""
+"""Tests of the leases of an instance's shares."""
 
 import pytest
 
@@ -38,15 +38,15 @@
     )
 
 
-def hear(members, clock, node, state=NodeState.READY):
+def record_heartbeat(members, clock, node, state=NodeState.READY):
     members.record_heartbeat(node, 1, state, "z", clock.now())
 
 
-def test_a_part_is_left_to_the_scheduler_and_the_lease_renewed(
+def test_share_is_leased_to_scheduler_and_lease_is_renewed(
     share_leases, members, clock
 ):
     assert share_leases.holder("m") is None
-    hear(members, clock, "b")
+    record_heartbeat(members, clock, "b")
     share_leases.renew()
     assert share_leases.holder("m") == "b"
     clock.time += 1
@@ -54,11 +54,13 @@
     assert share_leases.leases["m"].renewed_at == clock.now()
 
 
-def test_a_part_moves_only_once_the_lease_has_ended(share_leases, members, clock, sent):
-    hear(members, clock, "b")
+def test_share_is_not_leased_again_before_lease_has_ended(
+    share_leases, members, clock, sent
+):
+    record_heartbeat(members, clock, "b")
     share_leases.renew()
-    hear(members, clock, "b", NodeState.LEAVING)
-    hear(members, clock, "c")
+    record_heartbeat(members, clock, "b", NodeState.LEAVING)
+    record_heartbeat(members, clock, "c")
     share_leases.renew()
     assert share_leases.holder("m") is None
     assert sent[-1] == ("b", SlotReport("m", False, 1, clock.now(), []))
@@ -66,11 +68,11 @@
     assert share_leases.holder("m") == "c"
 
 
-def test_a_lease_whose_holder_is_silent_ends_by_time(share_leases, members, clock):
-    hear(members, clock, "b")
+def test_lease_of_unresponsive_scheduler_expires(share_leases, members, clock):
+    record_heartbeat(members, clock, "b")
     share_leases.renew()
     members.suspect("b", clock.now())
-    hear(members, clock, "c")
+    record_heartbeat(members, clock, "c")
     clock.time += LEASE_S - 0.01
     share_leases.renew()
     assert share_leases.holder("m") is None
@@ -79,13 +81,15 @@
     assert share_leases.holder("m") == "c"
 
 
-def test_the_end_of_an_old_lease_does_not_end_a_new_one(share_leases, members, clock):
-    hear(members, clock, "b")
+def test_confirmed_end_of_old_lease_does_not_end_new_lease(
+    share_leases, members, clock
+):
+    record_heartbeat(members, clock, "b")
     share_leases.renew()
-    hear(members, clock, "b", NodeState.LEAVING)
-    hear(members, clock, "c")
+    record_heartbeat(members, clock, "b", NodeState.LEAVING)
+    record_heartbeat(members, clock, "c")
     share_leases.renew()
-    hear(members, clock, "b")
+    record_heartbeat(members, clock, "b")
     members.suspect("c", clock.now())
     share_leases.renew()
     renewed = share_leases.leases["m"]
