--- a/packages/buckthornwall/src/buckthornwall/pools/refusal.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/refusal.py
@@ -135,7 +135,7 @@
 
 
 def _should_defer(pools: PoolTable, traits: RequestTraits, now: float) -> bool:
-    """Return whether a request yields to more urgent ones that were refused recently."""
+    """Return whether a request yields to more urgent ones refused recently."""
     resolution = traits.resolution
     ledger = pools.ledger(resolution.pool.id)
     return ledger.should_defer(resolution.rank, traits.prompt.prompt_tokens, now)
