--- a/packages/buckthornwall/src/buckthornwall/http1/__init__.py
+++ b/packages/buckthornwall/src/buckthornwall/http1/__init__.py
@@ -1,9 +1,9 @@
-"""HTTP/1.1 over h11 and trio, where one connection's fault touches no other.
+"""HTTP/1.1 over h11 and trio; a fault on one connection does not affect the others.
 
 ============= ============================================================
-`client`      one exchange at a time over one connection to a server
-`server`      a listener, its callers' connections, and their planned stop
-`failures`    the ways an exchange ends below HTTP
+`client`      a client connection that carries one exchange at a time
+`server`      a listener, its client connections, and graceful shutdown
+`failures`    failures of an exchange below the level of HTTP
 ============= ============================================================
 """
 
@@ -18,13 +18,13 @@
 )
 
 __all__ = [
-    "ResponseWriter",
-    "ResponseAborted",
     "ClientConnection",
     "ExchangeError",
     "ExchangeFailure",
     "HttpServer",
     "IncomingRequest",
+    "ResponseAborted",
     "ResponseHead",
+    "ResponseWriter",
     "ServerLimits",
 ]
--- a/packages/buckthornwall/src/buckthornwall/http1/client.py
+++ b/packages/buckthornwall/src/buckthornwall/http1/client.py
@@ -1,4 +1,4 @@
-"""One exchange at a time over one connection to a server."""
+"""A client connection that carries one exchange (request and response) at a time."""
 
 import socket
 from collections.abc import Sequence
@@ -13,9 +13,11 @@
 
 RECEIVE_BYTES = 65_536
 MAX_HEAD_BYTES = 65_536
-# Unacknowledged bytes for this long mean a dead path; Linux waits 15 minutes.
+# A path that leaves bytes unacknowledged for this long is dead; Linux would wait
+# 15 minutes.
 USER_TIMEOUT_MS = 2_000
-# Probes of a silent path: first after 2 s, then each second, lost after three.
+# An idle path is probed after 2 s, then every second, and is dead after three
+# unanswered probes.
 KEEPALIVE_IDLE_S = 2
 KEEPALIVE_INTERVAL_S = 1
 KEEPALIVE_PROBES = 3
@@ -25,7 +27,7 @@
 
 @dataclass(slots=True)
 class ResponseHead:
-    """Status and headers of a reply; names are in lower case."""
+    """Status and headers of a response; header names are in lower case."""
 
     status: int
     headers: list[tuple[bytes, bytes]]
@@ -41,15 +43,15 @@
 
 
 class ClientConnection:
-    """A connection and the parser of the exchange on it.
+    """A connection to a server, and the parser of its current exchange.
 
-    A parser lives for one exchange only, so that bytes which come after a
-    whole reply never count as the next one.
+    Each exchange has a parser of its own, so that bytes received after a
+    complete response are never taken for the response to the next request.
 
     Parameters
     ----------
     sock
-        A connected socket, owned from now on.
+        A connected socket; the connection closes it.
     """
 
     def __init__(self, sock: trio.socket.SocketType) -> None:
@@ -68,7 +70,7 @@
         Raises
         ------
         ExchangeError
-            UNREACHABLE, with nothing sent.
+            UNREACHABLE; no byte was sent.
         """
         host, _, port = address.rpartition(":")
         sock = trio.socket.socket(socket.AF_INET, socket.SOCK_STREAM)
@@ -88,27 +90,27 @@
         return cls(sock)
 
     def close(self) -> None:
-        """Close at once; the server sees its caller gone."""
+        """Close at once; the server sees that its client has disconnected."""
         self.closed = True
         self.sock.close()
 
     def is_healthy(self) -> bool:
-        """Tell whether an idle connection can take another exchange.
+        """Return whether an idle connection can carry another exchange.
 
-        Anything to read before a request was sent, be it an end or bytes,
-        belongs to nobody.
+        It cannot if it is readable before a request is sent: either the server has
+        closed it, or it holds bytes that answer no request.
         """
         return not self.closed and not self.sock.is_readable()
 
     async def send(
         self, method: bytes, target: bytes, headers: Headers, body: bytes
     ) -> None:
-        """Send a whole request.
+        """Send a complete request.
 
         Raises
         ------
         ExchangeError
-            RESET if the connection broke off.
+            RESET if the connection was lost.
         """
         self.exchanges += 1
         self.parser = h11.Connection(h11.CLIENT, MAX_HEAD_BYTES)
@@ -128,7 +130,7 @@
         return data + self.parser.send(h11.EndOfMessage())
 
     async def receive_head(self) -> ResponseHead:
-        """Return the head of the reply, past any informational ones.
+        """Return the head of the final response, skipping informational ones.
 
         Raises
         ------
@@ -140,15 +142,15 @@
             if isinstance(event, h11.Response):
                 return ResponseHead(event.status_code, list(event.headers))
             if not isinstance(event, h11.InformationalResponse):
-                raise ExchangeError(ExchangeFailure.CLOSED, "before a reply")
+                raise ExchangeError(ExchangeFailure.CLOSED, "before a response")
 
     async def receive_data(self) -> bytes:
-        """Return the next bytes of the body, or b'' after the last.
+        """Return the next bytes of the body, or ``b""`` at its end.
 
         Raises
         ------
         ExchangeError
-            RESET, CLOSED or MALFORMED: the body is not whole.
+            RESET, CLOSED or MALFORMED: the body is incomplete.
         """
         while True:
             event = await self._next_event()
@@ -158,7 +160,7 @@
                 return b""
 
     async def skip_response(self) -> None:
-        """Read a foreign reply to its end, and expect another one after it.
+        """Read a response to another request to its end; the next one may follow.
 
         Raises
         ------
@@ -169,14 +171,14 @@
             pass
         rest, ended = self.parser.trailing_data
         self.parser = h11.Connection(h11.CLIENT, MAX_HEAD_BYTES)
-        self._write_request()  # the new parser must know what was asked
+        self._write_request()  # the new parser needs the request to parse a response
         if rest:
             self.parser.receive_data(rest)
         if ended:
-            raise ExchangeError(ExchangeFailure.CLOSED, "after a foreign reply")
+            raise ExchangeError(ExchangeFailure.CLOSED, "after another response")
 
     def is_reusable(self) -> bool:
-        """Tell whether the whole reply was read and nothing came after it."""
+        """Return whether the response was read completely and no bytes follow it."""
         return (
             not self.closed
             and self.parser.their_state is h11.DONE
@@ -194,7 +196,7 @@
                     raise ExchangeError(ExchangeFailure.CLOSED)
                 elif event is h11.PAUSED:
                     raise ExchangeError(
-                        ExchangeFailure.MALFORMED, "bytes after a reply"
+                        ExchangeFailure.MALFORMED, "bytes after a response"
                     )
                 else:
                     return event
@@ -202,6 +204,6 @@
             raise ExchangeError(ExchangeFailure.RESET, str(error)) from error
         except h11.RemoteProtocolError as error:
             if self.parser.trailing_data[1]:
-                detail = "before the reply was whole"
+                detail = "before the response was complete"
                 raise ExchangeError(ExchangeFailure.CLOSED, detail) from error
             raise ExchangeError(ExchangeFailure.MALFORMED, str(error)) from error
--- a/packages/buckthornwall/src/buckthornwall/http1/failures.py
+++ b/packages/buckthornwall/src/buckthornwall/http1/failures.py
@@ -1,4 +1,4 @@
-"""The ways an exchange with a server ends below HTTP."""
+"""Failures of an exchange with a server below the level of HTTP."""
 
 from enum import Enum
 
@@ -8,24 +8,24 @@
 
 
 class ExchangeFailure(Enum):
-    """What went wrong between connecting and the last byte of a reply."""
+    """What went wrong between connecting and the last byte of the response."""
 
-    UNREACHABLE = "unreachable"  # no connection was made
-    RESET = "reset"  # the connection broke off
-    CLOSED = "ended"  # the server closed before the reply was whole
-    MALFORMED = "garbled"  # the bytes are no HTTP
-    TIMED_OUT = "silent"  # nothing came in time
+    UNREACHABLE = "unreachable"  # the connection could not be established
+    RESET = "reset"  # the connection was lost
+    CLOSED = "ended"  # the server closed it before the response was complete
+    MALFORMED = "garbled"  # the bytes are not valid HTTP
+    TIMED_OUT = "silent"  # nothing arrived in time
 
 
 class ExchangeError(UpstreamError):
-    """An exchange that brought no whole reply.
+    """An exchange that did not yield a complete response.
 
     Parameters
     ----------
     failure
         What went wrong.
     detail
-        The library's words.
+        The message of the underlying error.
     sent
         Whether any byte of the request may have reached the server.
     """
--- a/packages/buckthornwall/src/buckthornwall/http1/server.py
+++ b/packages/buckthornwall/src/buckthornwall/http1/server.py
@@ -1,4 +1,4 @@
-"""A listener, its callers' connections, and their planned stop."""
+"""A listener, its client connections, and graceful shutdown."""
 
 import socket
 from collections.abc import Awaitable, Callable
@@ -12,30 +12,30 @@
 from buckthornwall.utils import Clock
 
 __all__ = [
-    "ResponseWriter",
-    "ResponseAborted",
     "HttpServer",
     "IncomingRequest",
+    "ResponseAborted",
+    "ResponseWriter",
     "ServerLimits",
 ]
 
 BACKLOG = 1024
 RECEIVE_BYTES = 65_536
 HEAD_END = b"\r\n\r\n"
-# What a caller may send ahead of an answer before it is no longer read.
+# Bytes that a client may send ahead of its response; beyond them nothing more is read.
 MAX_PIPELINED_BYTES = 65_536
-# After an early refusal the rest of a body is read this long, so that the
-# refusal is not lost with a reset of the connection.
+# After a refusal the rest of the body is still read for this long: closing with
+# unread bytes resets the connection, and the client would lose the refusal.
 LINGER_S = 0.5
 
 
 class ResponseAborted(Exception):
-    """An answer that began cannot be completed; its connection must close."""
+    """A response that was begun cannot be completed; its connection must close."""
 
 
 @dataclass(frozen=True, slots=True)
 class ServerLimits:
-    """Bounds on callers, in bytes and seconds."""
+    """Limits on what a client may send, in bytes, and how slowly, in seconds."""
 
     max_head_bytes: int
     max_body_bytes: int
@@ -45,7 +45,7 @@
 
 @dataclass(slots=True)
 class IncomingRequest:
-    """A whole request as read; header names are in lower case."""
+    """A request that was read completely; header names are in lower case."""
 
     method: bytes
     target: bytes
@@ -55,7 +55,7 @@
 
 
 class RequestRefused(Exception):
-    """A request that HTTP itself or the limits refuse."""
+    """A request that is not valid HTTP or that exceeds a limit."""
 
     def __init__(self, status: int, code: ResultCode, detail: str = "") -> None:
         super().__init__(detail)
@@ -65,14 +65,14 @@
 
 
 class ConnectionEnded(Exception):
-    """The caller closed, or fell silent between two requests."""
+    """The client closed the connection, or left it idle for too long."""
 
 
 Handler = Callable[[IncomingRequest, "ResponseWriter"], Awaitable[None]]
 
 
 class ResponseWriter:
-    """The answer to one request, whole or piece by piece."""
+    """Writes the response to one request, complete or in pieces."""
 
     def __init__(self, connection: "ServerConnection", parser: h11.Connection) -> None:
         self.connection = connection
@@ -83,7 +83,7 @@
     async def send_complete(
         self, status: int, headers: list[tuple[bytes, bytes]], body: bytes
     ) -> None:
-        """Send a whole answer in one write."""
+        """Send a complete response in one write."""
         self.started = True
         sized = [*headers, (b"Content-Length", b"%d" % len(body))]
         data = self._head(status, sized)
@@ -96,7 +96,7 @@
     async def begin(
         self, status: int, headers: list[tuple[bytes, bytes]], data: bytes = b""
     ) -> None:
-        """Send the head of an answer of unknown length, and its first bytes."""
+        """Send the head of a response of unknown length, and its first bytes."""
         self.started = True
         out = self._head(status, headers)
         if data:
@@ -104,11 +104,11 @@
         await self.connection.write(out)
 
     async def send(self, data: bytes) -> None:
-        """Send more of an answer that began."""
+        """Send more bytes of a response that was begun."""
         await self.connection.write(self.parser.send(h11.Data(data=data)))
 
     async def end(self, data: bytes = b"") -> None:
-        """Send the last bytes, and the mark that the answer is whole."""
+        """Send the last bytes and the end of the message."""
         out = self.parser.send(h11.Data(data=data)) if data else b""
         out += self.parser.send(h11.EndOfMessage())
         await self.connection.write(out)
@@ -121,17 +121,17 @@
 
 
 class ServerConnection:
-    """One caller's connection: requests are read and answered in turn."""
+    """The connection of one client; its requests are read and answered in order."""
 
     def __init__(self, server: "HttpServer", sock: trio.socket.SocketType) -> None:
         self.server = server
         self.sock = sock
         self.unparsed = bytearray()
-        self.ended = False
+        self.disconnected = False
         self.idle_scope: trio.CancelScope | None = None
 
     async def write(self, data: bytes) -> None:
-        """Send all of `data`; raise ResponseAborted if the caller is gone."""
+        """Send all of `data`; raise ResponseAborted if the client has disconnected."""
         view = memoryview(data)
         try:
             while view:
@@ -140,12 +140,12 @@
             raise ResponseAborted(str(error)) from error
 
     async def run(self) -> None:
-        """Serve until the caller, a limit or a planned stop ends it."""
+        """Serve until the client, a limit or a graceful shutdown closes it."""
         try:
             while await self._serve_one():
                 pass
         except (ConnectionEnded, ResponseAborted, OSError):
-            pass  # an everyday end, and nobody is left to be told
+            pass  # an ordinary end of a connection; no client is left to answer
         finally:
             self.sock.close()
 
@@ -157,42 +157,45 @@
         except RequestRefused as refused:
             await self._refuse(parser, refused)
             return False
-        answer = ResponseWriter(self, parser)
-        gone = await self._handle(request, answer)
-        if gone or not answer.ended:
+        response = ResponseWriter(self, parser)
+        disconnected = await self._handle(request, response)
+        if disconnected or not response.ended:
             return False
         self.unparsed[:0] = parser.trailing_data[0]
         return parser.our_state is h11.DONE and not self.server.closing
 
-    async def _handle(self, request: IncomingRequest, answer: ResponseWriter) -> bool:
-        """Run the handler; stop it when its caller leaves, and tell whether."""
+    async def _handle(self, request: IncomingRequest, response: ResponseWriter) -> bool:
+        """Run the handler; return whether the client disconnected.
+
+        The handler is cancelled when that happens.
+        """
         self.server.active += 1
         try:
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(self._watch_caller, nursery.cancel_scope)
+                nursery.start_soon(self._watch_for_disconnect, nursery.cancel_scope)
                 try:
-                    await self.server.handler(request, answer)
+                    await self.server.handler(request, response)
                 except ResponseAborted:
-                    self.ended = True
+                    self.disconnected = True
                 nursery.cancel_scope.cancel()
         finally:
             self.server.active -= 1
-        return self.ended
+        return self.disconnected
 
-    async def _watch_caller(self, scope: trio.CancelScope) -> None:
+    async def _watch_for_disconnect(self, scope: trio.CancelScope) -> None:
         while len(self.unparsed) < MAX_PIPELINED_BYTES:
             try:
                 data = await self.sock.recv(RECEIVE_BYTES)
             except OSError:
                 data = b""
             if not data:
-                self.ended = True
+                self.disconnected = True
                 scope.cancel()
                 return
             self.unparsed += data
 
     async def _await_first_bytes(self) -> None:
-        """Wait for a request for as long as a caller may stay idle."""
+        """Wait for the first bytes of a request, at most for the idle time-out."""
         if self.unparsed:
             return
         with trio.CancelScope() as scope:
@@ -236,7 +239,7 @@
         )
 
     async def _read_head(self, max_bytes: int) -> bytes:
-        """Take one head from what was read, and no byte after it."""
+        """Remove one request head, and nothing after it, from the unparsed bytes."""
         while True:
             while self.unparsed[:2] == b"\r\n":
                 del self.unparsed[:2]
@@ -255,9 +258,9 @@
         return head
 
     def _check_framing(self, request: h11.Request, head: bytes) -> None:
-        """Refuse what two readers could split into requests differently."""
+        """Refuse a head that two parsers could frame differently."""
         names = [name for name, _ in request.headers]
-        lines = head.lower()  # the parser joins equal lengths into one
+        lines = head.lower()  # h11 merges equal Content-Length headers into one
         lengths = lines.count(b"\r\ncontent-length:")
         encodings = lines.count(b"\r\ntransfer-encoding:")
         if lengths + encodings > 1:
@@ -304,7 +307,7 @@
         self.unparsed.clear()
 
     async def _refuse(self, parser: h11.Connection, refused: RequestRefused) -> None:
-        """Answer what could not be read as a request, and close."""
+        """Answer bytes that could not be read as a request, and close."""
         log_event(
             "request_unreadable",
             "WARNING",
@@ -326,16 +329,16 @@
 
 
 class HttpServer:
-    """A listener whose connections fail one by one.
+    """A listener whose connections fail independently of each other.
 
     Parameters
     ----------
     clock
         Source of time.
     limits
-        Called for the limits in force.
+        Returns the limits in force.
     handler
-        Called with each whole request and its answer.
+        Called with each complete request and the writer of its response.
     """
 
     def __init__(
@@ -355,7 +358,15 @@
         *,
         task_status=trio.TASK_STATUS_IGNORED,
     ) -> None:
-        """Listen at ``IP:port`` until cancelled, or serve a socket that does."""
+        """Serve until cancelled, at ``IP:port`` or on a socket that already listens.
+
+        Parameters
+        ----------
+        address
+            Where to listen; not used if `bound_socket` is given.
+        bound_socket
+            A socket that listens already.
+        """
         if bound_socket is None:
             sock = await _listening_socket(address)
         else:
@@ -379,7 +390,7 @@
         try:
             await connection.run()
         except Exception as error:
-            # One caller's fault must never reach the others.
+            # A fault on one connection must not affect the others.
             log_event("connection_failed", "ERROR", detail=repr(error))
 
 
--- a/packages/buckthornwall/src/buckthornwall/http1/tests/conftest.py
+++ b/packages/buckthornwall/src/buckthornwall/http1/tests/conftest.py
@@ -11,8 +11,8 @@
 LIMITS = ServerLimits(2048, 4096, 0.5, 0.5)
 
 
-class RawCaller:
-    """A caller that sends bytes and reads bytes."""
+class RawClient:
+    """A client that sends and reads raw bytes."""
 
     def __init__(self, stream: trio.SocketStream) -> None:
         self.stream = stream
@@ -20,28 +20,28 @@
     async def send(self, data: bytes) -> None:
         await self.stream.send_all(data)
 
-    async def read_until(self, mark: bytes) -> bytes:
-        """Return what comes up to `mark`, or up to the end of the connection."""
+    async def read_until(self, marker: bytes) -> bytes:
+        """Return what arrives until `marker` is in it or the connection ends."""
         data = b""
         with trio.fail_after(3):
-            while mark not in data:
-                part = await self.stream.receive_some()
-                if not part:
+            while marker not in data:
+                received = await self.stream.receive_some()
+                if not received:
                     break
-                data += part
+                data += received
         return data
 
     async def read_all(self) -> bytes:
         data = b""
         with trio.fail_after(3):
-            while part := await self.stream.receive_some():
-                data += part
+            while received := await self.stream.receive_some():
+                data += received
         return data
 
 
 @pytest.fixture
 async def serve(nursery):
-    """Return a function that starts a server and connects callers to it."""
+    """Return a function that starts a server and gives a function to connect to it."""
 
     async def serve(handler):
         sock = socket.create_server(("127.0.0.1", 0))
@@ -50,10 +50,10 @@
         server = HttpServer(TrioClock(), lambda: LIMITS, handler)
         await nursery.start(server.run, address)
 
-        async def call() -> RawCaller:
+        async def connect() -> RawClient:
             host, _, port = address.rpartition(":")
-            return RawCaller(await trio.open_tcp_stream(host, int(port)))
+            return RawClient(await trio.open_tcp_stream(host, int(port)))
 
-        return server, call
+        return server, connect
 
     return serve
--- a/packages/buckthornwall/src/buckthornwall/http1/tests/test_client.py
+++ b/packages/buckthornwall/src/buckthornwall/http1/tests/test_client.py
@@ -1,4 +1,4 @@
-"""Tests of one exchange: whole, cut off, foreign and unasked replies."""
+"""Tests of an exchange: complete, truncated, misdirected and unsolicited responses."""
 
 import pytest
 import trio
@@ -6,7 +6,7 @@
 from buckthornwall.http1 import ClientConnection, ExchangeError, ExchangeFailure
 
 HEADERS = [(b"host", b"h")]
-WHOLE = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+COMPLETE = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
 
 async def exchange(address):
@@ -20,29 +20,29 @@
     return connection, head, body
 
 
-async def test_a_whole_reply_leaves_the_connection_usable(raw_upstream):
-    connection, head, body = await exchange(await raw_upstream(WHOLE, WHOLE))
+async def test_connection_is_reusable_after_complete_response(raw_upstream):
+    connection, head, body = await exchange(await raw_upstream(COMPLETE, COMPLETE))
     assert (head.status, body) == (200, b"ok")
     assert connection.is_reusable()
     assert connection.is_healthy()
 
 
-async def test_bytes_after_a_reply_belong_to_nobody(raw_upstream):
-    connection, _, body = await exchange(await raw_upstream(WHOLE + WHOLE))
+async def test_bytes_after_response_make_connection_unusable(raw_upstream):
+    connection, _, body = await exchange(await raw_upstream(COMPLETE + COMPLETE))
     assert body == b"ok"
     assert not connection.is_reusable()
 
 
-async def test_bytes_on_an_idle_connection_make_it_unusable(raw_upstream):
-    connection, _, _ = await exchange(await raw_upstream(WHOLE))
-    await trio.sleep(0.05)  # the script is at its end, so the server closes
+async def test_idle_connection_closed_by_server_is_unhealthy(raw_upstream):
+    connection, _, _ = await exchange(await raw_upstream(COMPLETE))
+    await trio.sleep(0.05)  # the script has ended, so the server closes
     assert not connection.is_healthy()
 
 
-async def test_a_foreign_reply_is_skipped_and_the_own_one_read(raw_upstream):
+async def test_response_to_another_request_is_skipped(raw_upstream):
     foreign = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong"
     connection = await ClientConnection.connect(
-        await raw_upstream(foreign + WHOLE), 1.0
+        await raw_upstream(foreign + COMPLETE), 1.0
     )
     await connection.send(b"GET", b"/", HEADERS, b"")
     await connection.receive_head()
@@ -51,28 +51,28 @@
     assert await connection.receive_data() == b"ok"
 
 
-async def test_a_reply_without_a_length_ends_with_its_connection(raw_upstream):
+async def test_response_without_length_ends_with_its_connection(raw_upstream):
     _, _, body = await exchange(await raw_upstream(b"HTTP/1.1 200 OK\r\n\r\nok", b""))
     assert body == b"ok"
 
 
 @pytest.mark.parametrize(
-    ("reply", "failure"),
+    ("response", "failure"),
     [
         (b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok", ExchangeFailure.CLOSED),
         (b"\x00\x01\x02 nonsense\r\n\r\n", ExchangeFailure.MALFORMED),
         (None, ExchangeFailure.RESET),
     ],
 )
-async def test_a_reply_that_is_not_whole_says_so(raw_upstream, reply, failure):
-    address = await raw_upstream(reply)
+async def test_incomplete_response_raises_its_failure(raw_upstream, response, failure):
+    address = await raw_upstream(response)
     with pytest.raises(ExchangeError) as caught:
         await exchange(address)
     assert caught.value.failure is failure
     assert caught.value.sent
 
 
-async def test_nobody_there_means_that_nothing_was_sent():
+async def test_failed_connect_reports_that_nothing_was_sent():
     with pytest.raises(ExchangeError) as caught:
         await ClientConnection.connect("127.0.0.1:1", 1.0)
     assert not caught.value.sent
--- a/packages/buckthornwall/src/buckthornwall/http1/tests/test_server.py
+++ b/packages/buckthornwall/src/buckthornwall/http1/tests/test_server.py
@@ -1,4 +1,4 @@
-"""Tests of callers' connections: framing, limits, gone callers, planned stops."""
+"""Tests of the server: framing, limits, disconnected clients, graceful shutdown."""
 
 import pytest
 import trio
@@ -6,8 +6,8 @@
 HEAD = b"POST /a HTTP/1.1\r\nHost: h\r\n"
 
 
-async def echo(request, answer):
-    await answer.send_complete(200, [(b"X-Target", request.target)], request.body)
+async def echo(request, response):
+    await response.send_complete(200, [(b"X-Target", request.target)], request.body)
 
 
 @pytest.mark.parametrize(
@@ -30,11 +30,11 @@
         (HEAD + b"Content-Length: 9\r\n\r\nshort", b"408"),
     ],
 )
-async def test_what_is_no_proper_request_is_refused_and_closed(serve, head, status):
-    _, call = await serve(echo)
-    caller = await call()
-    await caller.send(head)
-    data = await caller.read_all()
+async def test_invalid_or_oversized_request_is_refused_and_closed(serve, head, status):
+    _, connect = await serve(echo)
+    client = await connect()
+    await client.send(head)
+    data = await client.read_all()
     assert data.startswith(b"HTTP/1.1 " + status)
     assert b"connection: close" in data.lower()
 
@@ -46,74 +46,74 @@
         b"Transfer-Encoding: chunked\r\n\r\n2\r\nhe\r\n3\r\nllo\r\n0\r\n\r\n",
     ],
 )
-async def test_a_body_comes_with_a_length_or_in_chunks(serve, body):
-    _, call = await serve(echo)
-    caller = await call()
-    await caller.send(HEAD + body)
-    assert (await caller.read_until(b"hello")).endswith(b"hello")
+async def test_body_is_read_by_length_or_in_chunks(serve, body):
+    _, connect = await serve(echo)
+    client = await connect()
+    await client.send(HEAD + body)
+    assert (await client.read_until(b"hello")).endswith(b"hello")
 
 
-async def test_requests_sent_ahead_are_answered_in_turn(serve):
-    _, call = await serve(echo)
-    caller = await call()
+async def test_pipelined_requests_are_answered_in_order(serve):
+    _, connect = await serve(echo)
+    client = await connect()
     first = HEAD + b"Content-Length: 3\r\n\r\none"
-    await caller.send(first + HEAD + b"Content-Length: 3\r\n\r\ntwo")
-    data = await caller.read_until(b"two")
+    await client.send(first + HEAD + b"Content-Length: 3\r\n\r\ntwo")
+    data = await client.read_until(b"two")
     assert data.index(b"one") < data.index(b"two")
     assert data.count(b"HTTP/1.1 200") == 2
 
 
-async def test_a_caller_that_leaves_stops_its_request(serve):
+async def test_handler_is_cancelled_when_client_disconnects(serve):
     stopped = trio.Event()
 
-    async def hang(request, answer):
+    async def hang(request, response):
         try:
             await trio.sleep_forever()
         finally:
             stopped.set()
 
-    _, call = await serve(hang)
-    caller = await call()
-    await caller.send(HEAD + b"\r\n")
+    _, connect = await serve(hang)
+    client = await connect()
+    await client.send(HEAD + b"\r\n")
     await trio.sleep(0.05)
-    await caller.stream.aclose()
+    await client.stream.aclose()
     with trio.fail_after(0.5):
         await stopped.wait()
 
 
-async def test_one_fault_ends_its_connection_only(serve):
-    async def fail(request, answer):
+async def test_handler_exception_closes_only_its_connection(serve):
+    async def fail(request, response):
         if request.target == b"/bad":
             raise RuntimeError("a fault")
-        await echo(request, answer)
+        await echo(request, response)
 
-    _, call = await serve(fail)
-    good, bad = await call(), await call()
+    _, connect = await serve(fail)
+    good, bad = await connect(), await connect()
     await bad.send(b"GET /bad HTTP/1.1\r\nHost: h\r\n\r\n")
     assert await bad.read_all() == b""
     await good.send(HEAD + b"Content-Length: 2\r\n\r\nok")
     assert (await good.read_until(b"ok")).endswith(b"ok")
 
 
-async def test_an_answer_that_is_not_ended_does_not_look_whole(serve):
-    async def cut(request, answer):
-        await answer.begin(200, [], b"id: 1\n\n")
+async def test_unfinished_response_has_no_final_chunk(serve):
+    async def cut(request, response):
+        await response.begin(200, [], b"id: 1\n\n")
 
-    _, call = await serve(cut)
-    caller = await call()
-    await caller.send(HEAD + b"\r\n")
-    data = await caller.read_all()
+    _, connect = await serve(cut)
+    client = await connect()
+    await client.send(HEAD + b"\r\n")
+    data = await client.read_all()
     assert b"id: 1" in data
     assert not data.endswith(b"0\r\n\r\n")
 
 
-async def test_a_stopping_server_asks_its_callers_to_leave(serve):
-    server, call = await serve(echo)
-    caller, idle = await call(), await call()
+async def test_stopping_server_sends_connection_close_and_closes_idle_clients(serve):
+    server, connect = await serve(echo)
+    client, idle = await connect(), await connect()
     await idle.send(HEAD + b"Content-Length: 2\r\n\r\nok")
     await idle.read_until(b"ok")
     server.closing = True
-    await caller.send(HEAD + b"\r\n")
-    assert b"connection: close" in (await caller.read_all()).lower()
+    await client.send(HEAD + b"\r\n")
+    assert b"connection: close" in (await client.read_all()).lower()
     server.close_idle()
     assert await idle.read_all() == b""
