--- a/packages/buckthornwall/src/buckthornwall/links/messages.py
+++ b/packages/buckthornwall/src/buckthornwall/links/messages.py
@@ -205,14 +205,14 @@
 
     With `renews_lease` it renews a lease: for so long the receiver may give out
     the sender's part of the pool. Without, it ends the lease at once.
-    `lease` numbers the sender's leases of the pool, so that the answer to the
+    `lease_number` numbers the sender's leases of the pool, so that the answer to the
     end of one is not taken for the end of the next; it is 0 in a report that
     is about no lease. `sent_at` is on the sender's clock; see `DelayEstimator`.
     """
 
     pool: ModelId
     renews_lease: bool
-    lease: int
+    lease_number: int
     sent_at: float
     running: list[ReportedSlot]
 
@@ -221,7 +221,7 @@
     """A scheduler no longer counts on a lease of the receiver's part."""
 
     pool: ModelId
-    lease: int
+    lease_number: int
 
 
 class CallForward(Struct, array_like=True, tag=14):
--- a/packages/buckthornwall/src/buckthornwall/scheduling/agent.py
+++ b/packages/buckthornwall/src/buckthornwall/scheduling/agent.py
@@ -119,7 +119,7 @@
                 await self._receive_batch()
             self.freeze.check()
             if self.clock.now() >= next_tick:
-                self.renew_fractions()
+                self.update_fractions()
                 self.decide(self.roles.values())
                 next_tick = self.clock.now() + self.settings.tick_s
 
@@ -127,11 +127,13 @@
         """Handle all queued messages, then decide for the pools they concern."""
         node, message = await self.inbox.receive()
         self.freeze.check()
-        touched = {id(role): role for role in self.handle(node, message)}
+        changed_roles = {id(role): role for role in self.handle(node, message)}
         while self.inbox.statistics().current_buffer_used:
             node, message = self.inbox.receive_nowait()
-            touched.update({id(role): role for role in self.handle(node, message)})
-        self.decide(touched.values())
+            changed_roles.update(
+                {id(role): role for role in self.handle(node, message)}
+            )
+        self.decide(changed_roles.values())
 
     def decide(self, roles: Iterable[_PoolRole]) -> None:
         """Send the schedulers' decisions, then acknowledge requests that still wait."""
@@ -151,15 +153,15 @@
         if isinstance(message, Enqueue):
             return self._enqueue(node, message, now)
         if isinstance(message, Release):
-            touched = [r for r in roles if message.grant in r.scheduler.slots]
-            for role in touched:
+            changed_roles = [r for r in roles if message.grant in r.scheduler.slots]
+            for role in changed_roles:
                 role.scheduler.release(message, now)
-            return touched
+            return changed_roles
         if isinstance(message, Withdraw):
-            touched = [r for r in roles if r.local == message.local]
-            for role in touched:
+            changed_roles = [r for r in roles if r.local == message.local]
+            for role in changed_roles:
                 role.scheduler.withdraw(message.request)
-            return touched
+            return changed_roles
         if isinstance(message, SlotReport):
             return self._receive_slot_report(node, message, now)
         return []
@@ -203,7 +205,7 @@
             if role is not None:
                 role.scheduler.reconcile_slots(node, message.running, now)
         if not message.renews_lease:
-            return self._end_lease(node, message) if message.lease else []
+            return self._end_lease(node, message) if message.lease_number else []
         if self.members.local_state is NodeState.LEAVING:
             return []
         if self.store.view is None or message.pool not in self.store.view.models:
@@ -213,7 +215,7 @@
             return []  # delayed so long that the lease has expired
         role = self._get_role(message.pool, local=False)
         role.lease_renewed_at[node] = sent_at
-        role.lease_numbers[node] = message.lease
+        role.lease_numbers[node] = message.lease_number
         role.scheduler.reconcile_slots(node, message.running, now)
         self._update_fraction(role, now)
         return [role]
@@ -227,16 +229,16 @@
 
     def _end_lease(self, node: NodeId, message: SlotReport) -> list[_PoolRole]:
         role = self.roles.get((message.pool, False))
-        touched = []
+        changed_roles = []
         if role is not None:
             role.lease_renewed_at.pop(node, None)
             role.scheduler.remove_node(node)
             self._update_fraction(role, self.clock.now())
-            touched.append(role)
-        self.send(node, ShareLeaseEnded(message.pool, message.lease))
-        return touched
+            changed_roles.append(role)
+        self.send(node, ShareLeaseEnded(message.pool, message.lease_number))
+        return changed_roles
 
-    def renew_fractions(self) -> None:
+    def update_fractions(self) -> None:
         """Recompute the usable fractions, and drop pools without leases."""
         now = self.clock.now()
         if self.store.view is None:
@@ -267,15 +269,15 @@
 
     def _update_fraction(self, role: _PoolRole, now: float) -> None:
         """Set the fraction of the slots that this scheduler may use."""
-        expected = self.members.share_count()
+        share_count = self.members.share_count()
         if role.local:
-            role.scheduler.fraction = 1 / expected
+            role.scheduler.fraction = 1 / share_count
             return
         for node, renewed_at in list(role.lease_renewed_at.items()):
             if now - renewed_at > self.settings.support_s:
                 del role.lease_renewed_at[node]
                 role.scheduler.remove_node(node)
-        role.scheduler.fraction = min(1.0, len(role.lease_renewed_at) / expected)
+        role.scheduler.fraction = min(1.0, len(role.lease_renewed_at) / share_count)
 
     def _send_decision(self, decision: Decision, role: _PoolRole) -> None:
         if isinstance(decision, PreemptDecision):
@@ -289,7 +291,7 @@
                 decision.engine,
                 self.incarnation,
                 ticket.request_sent_at,
-                self.clock.now() - ticket.received,
+                self.clock.now() - ticket.received_at,
                 self.settings.grant_valid_s,
                 role.local,
             )
--- a/packages/buckthornwall/src/buckthornwall/scheduling/core.py
+++ b/packages/buckthornwall/src/buckthornwall/scheduling/core.py
@@ -135,7 +135,7 @@
             team=message.team,
             prompt_tokens=message.prompt_tokens,
             prefix=message.prefix,
-            received=now,
+            received_at=now,
             deadline=now + message.start_within_s,
             request_sent_at=message.sent_at,
             waited_s=message.waited_s,
--- a/packages/buckthornwall/src/buckthornwall/scheduling/entry.py
+++ b/packages/buckthornwall/src/buckthornwall/scheduling/entry.py
@@ -81,7 +81,7 @@
     request: SlotRequest
     scheduler_node: NodeId
     local: bool
-    taken_at: float
+    accepted_at: float
     tokens: int = 0
     preempted: bool = False
 
@@ -306,7 +306,9 @@
             if slot is not None:
                 slot.preempted = True
         elif isinstance(message, ShareLeaseEnded):
-            self.share_leases.receive_lease_ended(node, message.pool, message.lease)
+            self.share_leases.receive_lease_ended(
+                node, message.pool, message.lease_number
+            )
 
     def _receive_refusal(self, node: NodeId, message: EnqueueRefused) -> None:
         pending = self.pending.get(message.request)
--- a/packages/buckthornwall/src/buckthornwall/scheduling/queue.py
+++ b/packages/buckthornwall/src/buckthornwall/scheduling/queue.py
@@ -40,7 +40,7 @@
     team: TeamId
     prompt_tokens: int
     prefix: int
-    received: float
+    received_at: float
     deadline: float
     request_sent_at: float = 0.0
     waited_s: float = 0.0
@@ -215,7 +215,7 @@
         target for the first token.
         """
         return sum(
-            now - ticket.received > fraction * queue.record.targets.first_token_s
+            now - ticket.received_at > fraction * queue.record.targets.first_token_s
             for queue in self._queues.values()
             if queue.waiting and queue.record.urgent
             for _, team in queue.backlogged()
--- a/packages/buckthornwall/src/buckthornwall/scheduling/share_leases.py
+++ b/packages/buckthornwall/src/buckthornwall/scheduling/share_leases.py
@@ -135,7 +135,7 @@
         lease = existing or ShareLease(scheduler, self._next_number(), now)
         message = self.slot_report(pool)
         message.renews_lease = True
-        message.lease = lease.number
+        message.lease_number = lease.number
         if not self.send(scheduler, message):
             return
         lease.renewed_at = now
