--- a/packages/buckthornwall/src/buckthornwall/scheduling/entry.py
+++ b/packages/buckthornwall/src/buckthornwall/scheduling/entry.py
@@ -211,7 +211,7 @@
             self._decide_locally(request, pending)
 
     def _choose_scheduler(self, pending: _PendingRequest) -> tuple[NodeId, bool]:
-        """Return the scheduler to ask, and whether it is the local one."""
+        """Return the instance to ask, and whether it schedules its own share only."""
         pool = pending.slot_request.pool
         holder = self.share_leases.holder(pool)
         return (self.node, True) if holder is None else (holder, False)
