--- a/packages/buckthornwall-standins/src/buckthornwall_standins/memory_fleet.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/memory_fleet.py
@@ -82,7 +82,7 @@
     that its own hypothesis plugin uses.
     """
     random.seed(seed)
-    ids.source = random.Random(seed)
+    ids.random_source = random.Random(seed)
     trio._core._run._ALLOW_DETERMINISTIC_SCHEDULING = True
     trio._core._run._r = random.Random(seed)
 
--- a/packages/buckthornwall/src/buckthornwall/settings/__init__.py
+++ b/packages/buckthornwall/src/buckthornwall/settings/__init__.py
@@ -1,4 +1,4 @@
-"""The INI file of one instance, checked as a whole."""
+"""The settings of one instance: an INI file that is validated completely at once."""
 
 from buckthornwall.utils import lazy_exports
 
--- a/packages/buckthornwall/src/buckthornwall/settings/__main__.py
+++ b/packages/buckthornwall/src/buckthornwall/settings/__main__.py
@@ -1,4 +1,4 @@
-"""Print the table of settings that docs/settings.md holds."""
+"""Print the page docs/settings.md."""
 
 from .core import render_table
 
--- a/packages/buckthornwall/src/buckthornwall/settings/core.py
+++ b/packages/buckthornwall/src/buckthornwall/settings/core.py
@@ -1,4 +1,4 @@
-"""All sections of the settings file together."""
+"""The settings of an instance with the completions interface."""
 
 from dataclasses import dataclass, fields
 
@@ -18,14 +18,14 @@
 
 __all__ = ["NodeSettings", "Settings", "render_table"]
 
-NAME_CHARACTERS = frozenset(
+ID_CHARACTERS = frozenset(
     "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-_"
 )
 
 
 @dataclass
 class Settings(SettingsFile):
-    """Every section of one instance's settings."""
+    """All sections of the settings file."""
 
     node: NodeSettings
     gateway: GatewaySettings
@@ -39,8 +39,8 @@
     telemetry: TelemetrySettings
 
     def _check_consistency(self, origin: str) -> None:
-        """Check what one item alone cannot show."""
-        if not self.node.id or not set(self.node.id) <= NAME_CHARACTERS:
+        """Check what depends on several settings or on the format of one."""
+        if not self.node.id or not set(self.node.id) <= ID_CHARACTERS:
             raise SettingsError(
                 ResultCode.SETTING_INVALID,
                 f"{origin} [node] id: letters, digits, '-' and '_' only",
@@ -61,12 +61,12 @@
         if self.membership.suspect_after_s < 2 * heartbeat_s:
             raise SettingsError(
                 ResultCode.SETTING_INVALID,
-                f"{origin} [membership] suspect_after_s: at least two heartbeats",
+                f"{origin} [membership] suspect_after_s: must be >= two heartbeats",
             )
         self._check_tls(origin)
 
     def _check_tls(self, origin: str) -> None:
-        """Check that TLS items come together."""
+        """Check that the TLS settings of a section are given all or none."""
         groups = (
             (self.gateway, ("tls_certificate", "tls_key")),
             (self.links, ("tls_certificate", "tls_key", "tls_ca")),
--- a/packages/buckthornwall/src/buckthornwall/settings/node.py
+++ b/packages/buckthornwall/src/buckthornwall/settings/node.py
@@ -1,4 +1,4 @@
-"""Who this instance is."""
+"""Identity and location of this instance."""
 
 from buckthornwall.utils import ConfigItem, ConfigNamespace, RegionId, ZoneId
 
@@ -6,7 +6,7 @@
 
 
 class NodeSettings(ConfigNamespace):
-    """Who this instance is."""
+    """Identity and location of this instance."""
 
     section = "node"
 
--- a/packages/buckthornwall/src/buckthornwall/settings/router.py
+++ b/packages/buckthornwall/src/buckthornwall/settings/router.py
@@ -1,4 +1,4 @@
-"""The settings of an instance behind the platform's balancer."""
+"""The settings of an instance behind the platform's load balancer."""
 
 from dataclasses import dataclass
 
@@ -32,7 +32,7 @@
 
 
 class StopSettings(ConfigNamespace):
-    """Settings of a planned stop."""
+    """Settings of a graceful shutdown."""
 
     section = "stop"
 
@@ -49,7 +49,7 @@
 
 @dataclass
 class RouterSettings(SettingsFile):
-    """Every section of one such instance's settings."""
+    """All sections of the settings file."""
 
     node: NodeSettings
     edge: EdgeSettings
@@ -62,7 +62,7 @@
     telemetry: TelemetrySettings
 
     def _check_consistency(self, origin: str) -> None:
-        """Check what one item alone cannot show."""
+        """Check what depends on several settings or on the format of one."""
         addresses = (
             (self.edge, "listen"),
             (self.edge, "ready"),
@@ -80,5 +80,6 @@
             ) from error
         if self.stop.notice_s >= self.stop.grace_s:
             raise SettingsError(
-                ResultCode.SETTING_INVALID, f"{origin} [stop] notice_s: over grace_s"
+                ResultCode.SETTING_INVALID,
+                f"{origin} [stop] notice_s: not under grace_s",
             )
--- a/packages/buckthornwall/src/buckthornwall/settings/sections.py
+++ b/packages/buckthornwall/src/buckthornwall/settings/sections.py
@@ -1,4 +1,4 @@
-"""Reading an INI file into checked sections."""
+"""Reads an INI file into validated sections."""
 
 import configparser
 from collections.abc import Mapping
@@ -29,12 +29,19 @@
 def read_sections(
     text: str, origin: str, known: Mapping[str, type[ConfigNamespace]]
 ) -> dict[str, ConfigNamespace]:
-    """Return the checked sections of a settings file by name.
+    """Return the validated sections of a settings file by name.
+
+    Parameters
+    ----------
+    text, origin
+        Text of the file, and its name for error messages.
+    known
+        Class of each section by name.
 
     Raises
     ------
     SettingsError
-        Naming file, section and key.
+        The message names file, section and key.
     """
     parser = configparser.ConfigParser(interpolation=None, default_section="-")
     try:
@@ -55,27 +62,27 @@
 
 @dataclass
 class SettingsFile:
-    """The sections of one file; a subclass has a field for each of them."""
+    """The sections of one file; a subclass declares a field for each section."""
 
     @classmethod
     def from_file(cls, path: Path) -> Self:
-        """Read and check a file.
+        """Read and validate a file.
 
         Raises
         ------
         SettingsError
-            Naming file, section and key.
+            The message names file, section and key.
         """
         return cls.from_config(read_text(path), str(path))
 
     @classmethod
     def from_config(cls, text: str, origin: str = "settings") -> Self:
-        """Check the text of a file and build from it.
+        """Return the validated settings from the text of a file.
 
         Raises
         ------
         SettingsError
-            Naming file, section and key.
+            The message names file, section and key.
         """
         known = {field.name: field.type for field in fields(cls)}
         settings = cls(**read_sections(text, origin, known))
@@ -83,7 +90,7 @@
         return settings
 
     def _check_consistency(self, origin: str) -> None:
-        """Check what one item alone cannot show."""
+        """Check what depends on several settings or on the format of one."""
 
 
 def check_address(origin: str, section: str, key: str, text: str) -> None:
@@ -92,7 +99,7 @@
     Raises
     ------
     SettingsError
-        SETTING_INVALID, naming file, section and key.
+        SETTING_INVALID; the message names file, section and key.
     """
     host, _, port = text.rpartition(":")
     octets = host.split(".")
--- a/packages/buckthornwall/src/buckthornwall/settings/tests/test_settings.py
+++ b/packages/buckthornwall/src/buckthornwall/settings/tests/test_settings.py
@@ -30,11 +30,11 @@
 PAGE = Path(__file__).parents[6] / "docs" / "settings.md"
 
 
-def test_page_in_docs_is_the_table():
+def test_docs_page_matches_the_declared_settings():
     assert PAGE.read_text(encoding="utf-8") == render_table()
 
 
-def test_defaults_fill_what_the_file_leaves_out():
+def test_missing_settings_get_their_defaults():
     settings = Settings.from_config(GOOD)
     assert settings.membership.heartbeat_s == 0.5
     assert settings.links.seeds == ["centro-2=127.0.0.2:8082"]
@@ -69,7 +69,7 @@
         ("[node]", "[node", ResultCode.SETTINGS_UNREADABLE, "settings"),
     ],
 )
-def test_a_fault_is_named_by_file_section_and_key(old, new, code, where):
+def test_invalid_setting_error_names_section_and_key(old, new, code, where):
     with pytest.raises(SettingsError) as caught:
         Settings.from_config(GOOD.replace(old, new), "settings")
     assert caught.value.code is code
@@ -77,6 +77,6 @@
 
 
 @given(st.text(max_size=300))
-def test_no_text_crashes_the_reader(text):
+def test_arbitrary_text_raises_settings_error(text):
     with pytest.raises(SettingsError):
         Settings.from_config(text)
--- a/packages/buckthornwall/src/buckthornwall/utils/__init__.py
+++ b/packages/buckthornwall/src/buckthornwall/utils/__init__.py
@@ -1,4 +1,4 @@
-"""Helpers that more than one subpackage uses."""
+"""Helpers that several subpackages use."""
 
 from .backoff import Backoff
 from .clock import Clock, TrioClock
--- a/packages/buckthornwall/src/buckthornwall/utils/backoff.py
+++ b/packages/buckthornwall/src/buckthornwall/utils/backoff.py
@@ -1,4 +1,4 @@
-"""Exponential backoff with full jitter.
+"""Exponential backoff with jitter.
 
 References
 ----------
@@ -12,12 +12,14 @@
 
 
 class Backoff:
-    """Delays that double up to a limit, each drawn evenly below its bound.
+    """Random delays below a bound that doubles up to a limit.
+
+    Each delay is uniform between a quarter of its bound and the bound.
 
     Parameters
     ----------
     first_s, limit_s
-        Bound of the first delay and of any delay, in seconds.
+        Bound of the first delay, and limit of the bound, in seconds.
     """
 
     def __init__(self, first_s: float, limit_s: float) -> None:
@@ -26,11 +28,11 @@
         self.bound_s = first_s
 
     def reset(self) -> None:
-        """Start again from the first bound, after a success."""
+        """Return to the first bound; call this after a success."""
         self.bound_s = self.first_s
 
     def next_delay(self) -> float:
-        """Return the seconds to wait before the next try."""
+        """Return the seconds to wait before the next attempt, and double the bound."""
         delay = random.uniform(self.bound_s / 4, self.bound_s)
         self.bound_s = min(self.limit_s, self.bound_s * 2)
         return delay
--- a/packages/buckthornwall/src/buckthornwall/utils/clock.py
+++ b/packages/buckthornwall/src/buckthornwall/utils/clock.py
@@ -1,4 +1,4 @@
-"""The clock that every decision is given, so that tests can drive it."""
+"""The clock that is passed to all time-dependent code, so that tests can control it."""
 
 from typing import Protocol
 
@@ -15,7 +15,7 @@
 
 
 class TrioClock:
-    """The running trio clock: real in the daemon, mocked under `MockClock`."""
+    """The clock of the running trio loop: real in the daemon, `MockClock` in tests."""
 
     def now(self) -> float:
         """Return monotonic seconds from an arbitrary start."""
--- a/packages/buckthornwall/src/buckthornwall/utils/config.py
+++ b/packages/buckthornwall/src/buckthornwall/utils/config.py
@@ -1,4 +1,4 @@
-"""Declared settings: each item stands beside the code that uses it."""
+"""Declarations of settings, which stand beside the code that uses them."""
 
 from collections.abc import Callable, Mapping
 from typing import Any
@@ -39,15 +39,15 @@
     Parameters
     ----------
     default
-        The value when the file is silent; its type is the setting's type.
+        The value if the file does not give one; its type is the type of the setting.
     description
-        One sentence for the operators' guide; the unit ends the item's name.
+        A sentence for the operators' guide. The name of the setting ends with the unit.
     minimum, maximum
-        Inclusive bounds for numbers.
+        Inclusive bounds of a number.
     choices
-        The only texts that are taken, if given.
+        The only values allowed, if given.
     required
-        Whether the file must name it.
+        Whether the file must give the setting.
     """
 
     def __init__(
@@ -72,7 +72,7 @@
         Raises
         ------
         ValueError
-            If it is not of the type, out of bounds or not a choice.
+            If the text is not of the setting's type, out of bounds or not a choice.
         """
         value = _PARSERS[type(self.default)](text)
         if self.minimum is not None and not value >= self.minimum:
@@ -85,7 +85,7 @@
 
 
 class ConfigNamespace:
-    """The items of one INI section; subclasses declare `section` and items."""
+    """The settings of one INI section; subclasses declare `section` and its items."""
 
     section = ""
 
@@ -106,19 +106,19 @@
 
     @classmethod
     def from_config(cls, section: Mapping[str, str], origin: str) -> "ConfigNamespace":
-        """Check and build from the texts of one section.
+        """Return the validated settings of one section.
 
         Parameters
         ----------
         section
-            Key to text, as read from the file.
+            Texts by key, as read from the file.
         origin
-            The file's name, for errors.
+            Name of the file, for error messages.
 
         Raises
         ------
         SettingsError
-            Naming file, section and key.
+            The message names file, section and key.
         """
         items = cls.items()
         where = f"{origin} [{cls.section}]"
--- a/packages/buckthornwall/src/buckthornwall/utils/hashing.py
+++ b/packages/buckthornwall/src/buckthornwall/utils/hashing.py
@@ -11,7 +11,7 @@
 
 __all__ = ["hash_fraction", "rendezvous_order", "rendezvous_winner"]
 
-# One more than the largest weight.
+# Number of different weights, which have 8 bytes.
 WEIGHT_RANGE = 2**64
 
 
@@ -20,15 +20,15 @@
 
 
 def rendezvous_order(key: str, candidates: Iterable[str]) -> list[str]:
-    """Return the candidates, the highest weight for `key` first."""
+    """Return the candidates in descending order of their weight for `key`."""
     return sorted(candidates, key=lambda each: _weight(key, each), reverse=True)
 
 
 def rendezvous_winner(key: str, candidates: Iterable[str]) -> str | None:
-    """Return the candidate of highest weight for `key`, or None without any."""
+    """Return the candidate with the highest weight for `key`; None without any."""
     return max(candidates, key=lambda each: _weight(key, each), default=None)
 
 
 def hash_fraction(key: str) -> float:
-    """Return a number from 0 to 1 that is drawn by a key."""
+    """Return the hash of `key` as a fraction, uniform from 0 to 1."""
     return int.from_bytes(_weight(key, "")) / WEIGHT_RANGE
--- a/packages/buckthornwall/src/buckthornwall/utils/ids.py
+++ b/packages/buckthornwall/src/buckthornwall/utils/ids.py
@@ -1,4 +1,4 @@
-"""Typed identifiers."""
+"""Types of identifiers, and random ones."""
 
 import random
 from typing import NewType
@@ -28,16 +28,16 @@
 RouteId = NewType("RouteId", str)
 UpstreamId = NewType("UpstreamId", str)
 AttemptId = NewType("AttemptId", str)
-# Short integers keep the messages between instances small.
+# Integers, to keep the messages between instances small.
 RequestId = NewType("RequestId", int)
 GrantId = NewType("GrantId", int)
 Incarnation = NewType("Incarnation", int)
 
 ID_BITS = 48
-# The system's own randomness; tests that must repeat put a seeded one here.
-source: random.Random = random.SystemRandom()
+# The operating system's random source; reproducible tests replace it by a seeded one.
+random_source: random.Random = random.SystemRandom()
 
 
 def new_id() -> int:
-    """Return a random identifier of 48 bits, unique for all practical uses."""
-    return source.getrandbits(ID_BITS)
+    """Return a random identifier of 48 bits, unique for all practical purposes."""
+    return random_source.getrandbits(ID_BITS)
--- a/packages/buckthornwall/src/buckthornwall/utils/lazy.py
+++ b/packages/buckthornwall/src/buckthornwall/utils/lazy.py
@@ -1,4 +1,4 @@
-"""Exports that are imported at their first use (PEP 562)."""
+"""Exports that are imported when they are first used (PEP 562)."""
 
 from collections.abc import Callable, Mapping
 from importlib import import_module
@@ -8,11 +8,11 @@
 
 
 def lazy_exports(package: str, exports: Mapping[str, str]) -> Callable[[str], Any]:
-    """Return a module's ``__getattr__`` that imports names when asked.
+    """Return a module's ``__getattr__`` that imports exported names on demand.
 
-    A process then pays only for the parts that it runs: a router that imports
-    the hypercorn and httpcore parts as well holds 11 MB more, by the peak of
-    its resident memory after the imports.
+    A process then loads only what it runs. Importing the parts that use hypercorn
+    and httpcore would raise a router's peak resident memory after the imports by
+    11 MB.
 
     Parameters
     ----------
--- a/packages/buckthornwall/src/buckthornwall/utils/suspension.py
+++ b/packages/buckthornwall/src/buckthornwall/utils/suspension.py
@@ -1,4 +1,4 @@
-"""A clock for trio that goes on while the machine is suspended."""
+"""A clock for trio that includes the time for which the machine was suspended."""
 
 import time
 from collections.abc import Callable
@@ -7,29 +7,35 @@
 
 __all__ = ["SuspensionClock", "suspended_s"]
 
-# How often suspensions are looked for, and the shortest that counts, in seconds.
 CHECK_INTERVAL_S = 0.05
+# Shorter suspensions are ignored.
 MIN_SUSPENSION_S = 0.2
 
 
 def suspended_s() -> float:
-    """Return for how long the machine has been suspended since it started."""
+    """Return for how many seconds the machine was suspended since it booted."""
     boot = time.clock_gettime(time.CLOCK_BOOTTIME)
     return boot - time.clock_gettime(time.CLOCK_MONOTONIC)
 
 
 class SuspensionClock(Clock):
-    """The monotonic clock, and the time for which it stood still.
+    """A monotonic clock plus the time of the suspensions, which it leaves out.
 
-    Deadlines, ages of news and intervals rest on it: a machine that was suspended for
-    seconds would else take what it knows for new, and callers for still waiting.
+    Deadlines, ages of reports and intervals are measured with it. Otherwise a machine
+    that was suspended for seconds would take stale reports for fresh ones, and serve
+    clients that have given up.
 
     Parameters
     ----------
     monotonic
-        Returns seconds that leave suspensions out.
+        Returns monotonic seconds without suspensions.
     read_suspended_s
-        Returns the seconds of all suspensions so far.
+        Returns the total length of all suspensions so far, in seconds.
+
+    Attributes
+    ----------
+    on_resume : Callable[[float], None]
+        Called with the seconds of each suspension that is detected.
     """
 
     def __init__(
@@ -47,7 +53,7 @@
         """Do nothing: the clock always runs."""
 
     def current_time(self) -> float:
-        """Return seconds from an arbitrary start, suspensions included."""
+        """Return seconds from an arbitrary start, including suspensions."""
         now = self.monotonic()
         if now - self._checked_at >= CHECK_INTERVAL_S:
             self._checked_at = now
--- a/packages/buckthornwall/src/buckthornwall/utils/tests/test_suspension.py
+++ b/packages/buckthornwall/src/buckthornwall/utils/tests/test_suspension.py
@@ -1,4 +1,4 @@
-"""Tests of time while the machine is suspended."""
+"""Tests of the clock across suspensions of the machine."""
 
 import time
 
@@ -10,7 +10,7 @@
 
 
 class Machine:
-    """The suspensions of a machine, which its steady clock leaves out."""
+    """A machine whose total time of suspensions a test sets."""
 
     def __init__(self):
         self.suspended_s = 100.0
@@ -30,7 +30,7 @@
 
 
 def test_deadlines_pass_while_the_machine_is_suspended(machine, clock):
-    """A request of before was sent on with all the time that its caller had had."""
+    """Otherwise a request from before the suspension keeps its whole time-out."""
 
     async def wait():
         with trio.move_on_after(60.0) as scope:
@@ -44,7 +44,7 @@
     assert time.monotonic() - started < 5.0
 
 
-def test_a_suspension_is_told_once(machine, clock):
+def test_on_resume_is_called_once_per_suspension(machine, clock):
     reported_s = []
     clock.on_resume = reported_s.append
 
@@ -57,12 +57,12 @@
     assert reported_s == [pytest.approx(3.0)]
 
 
-def test_the_clock_never_goes_back(machine, clock):
+def test_clock_is_monotonic_if_total_suspension_shrinks(machine, clock):
     before = clock.current_time()
     machine.suspended_s -= 0.1
     time.sleep(0.06)
     assert clock.current_time() >= before
 
 
-def test_the_machines_own_suspensions_are_read():
+def test_suspended_time_of_this_machine_can_be_read():
     assert suspended_s() > -1.0
--- a/packages/buckthornwall/src/buckthornwall/utils/transport.py
+++ b/packages/buckthornwall/src/buckthornwall/utils/transport.py
@@ -1,4 +1,4 @@
-"""The ways in which an HTTP exchange can fail below HTTP."""
+"""Errors of httpcore that are failures below the level of HTTP."""
 
 import httpcore
 
