--- a/packages/buckthornwall/src/buckthornwall/discovery/agent.py
+++ b/packages/buckthornwall/src/buckthornwall/discovery/agent.py
@@ -41,11 +41,11 @@
     section = "discovery"
 
     watch_ms = ConfigItem(
-        1500.0, "Milliseconds that one watch waits for news.", minimum=50
+        1500.0, "Milliseconds that a watch waits for a change.", minimum=50
     )
     gap_ms = ConfigItem(
         400.0,
-        "Milliseconds between two watches, so that one call brings the news of "
+        "Milliseconds between two watches, so that one call returns the changes of "
         "several upstreams.",
         minimum=0,
     )
@@ -54,8 +54,8 @@
     )
     settle_ms = ConfigItem(
         2200.0,
-        "Milliseconds after an outage in which registrations that are missing "
-        "may come back.",
+        "Milliseconds after an outage during which missing registrations are not "
+        "removed yet, since they may be renewed.",
         minimum=0,
     )
 
--- a/packages/buckthornwall/src/buckthornwall/forwarding/forwarder.py
+++ b/packages/buckthornwall/src/buckthornwall/forwarding/forwarder.py
@@ -70,22 +70,22 @@
     section = "forwarding"
 
     connect_timeout_ms = ConfigItem(
-        250.0, "Milliseconds to connect to an upstream.", minimum=1
+        250.0, "Maximum milliseconds to connect to an upstream.", minimum=1
     )
     once_idle_ms = ConfigItem(
         1000.0,
-        "Most milliseconds that a connection was idle, to carry a call that may "
-        "not be repeated.",
+        "Maximum milliseconds that a connection may have been idle to carry a call "
+        "that may not be repeated.",
         minimum=0,
     )
     most_upstreams = ConfigItem(
-        4, "Upstreams that one request is offered to at most.", minimum=1
+        4, "Maximum upstreams that a request is sent to.", minimum=1
     )
     retry_ratio = ConfigItem(
-        0.2, "Repeats for each request to a pool, over the fleet.", minimum=0
+        0.2, "Retries for each request to a pool, over the fleet.", minimum=0
     )
     retry_reserve = ConfigItem(
-        20.0, "Repeats besides in one window, over the fleet.", minimum=0
+        20.0, "Additional retries in one window, over the fleet.", minimum=0
     )
 
 
--- a/packages/buckthornwall/src/buckthornwall/gateway/app.py
+++ b/packages/buckthornwall/src/buckthornwall/gateway/app.py
@@ -24,16 +24,22 @@
 
     section = "gateway"
 
-    listen = ConfigItem("", "Address and port for callers.", required=True)
-    body_limit_bytes = ConfigItem(1_000_000, "Largest body taken.", minimum=1)
-    header_limit_bytes = ConfigItem(16_384, "Largest head of a request.", minimum=512)
-    body_timeout_s = ConfigItem(10.0, "Seconds for a body to arrive.", minimum=0.1)
-    keep_alive_s = ConfigItem(30.0, "Seconds an idle connection is kept.", minimum=1)
+    listen = ConfigItem("", "Address and port for clients.", required=True)
+    body_limit_bytes = ConfigItem(1_000_000, "Largest body accepted.", minimum=1)
+    header_limit_bytes = ConfigItem(
+        16_384, "Largest request head accepted.", minimum=512
+    )
+    body_timeout_s = ConfigItem(
+        10.0, "Seconds within which a body must arrive.", minimum=0.1
+    )
+    keep_alive_s = ConfigItem(
+        30.0, "Seconds that an idle connection is kept.", minimum=1
+    )
     drain_s = ConfigItem(
-        2.0, "Seconds of serving on after a stop has been announced.", minimum=0
+        2.0, "Seconds of serving on after a shutdown is announced.", minimum=0
     )
     stop_limit_s = ConfigItem(
-        600.0, "Longest wait in seconds for requests in flight at a stop.", minimum=1
+        600.0, "Maximum seconds to wait for requests in flight at shutdown.", minimum=1
     )
     tls_certificate = ConfigItem("", "PEM file of the listener's certificate.")
     tls_key = ConfigItem("", "PEM file of the certificate's key.")
--- a/packages/buckthornwall/src/buckthornwall/links/core.py
+++ b/packages/buckthornwall/src/buckthornwall/links/core.py
@@ -47,16 +47,16 @@
 
     section = "links"
 
-    listen = ConfigItem("", "Address and port peers dial, as IP:port.", required=True)
+    listen = ConfigItem("", "Address that peers connect to, as IP:port.", required=True)
     advertise = ConfigItem(
-        "", "Address and port told to peers, if it is not the one listened on."
+        "", "Address announced to peers, as IP:port, if it differs from `listen`."
     )
-    peer_secret = ConfigItem("", "Secret that every instance shares.", required=True)
-    seeds = ConfigItem([], "Peers to dial before any list is known: node=IP:port.")
+    peer_secret = ConfigItem("", "Secret shared by all instances.", required=True)
+    seeds = ConfigItem([], "Peers to contact before the list is read, as node=IP:port.")
     linger_ms = ConfigItem(
-        1.0, "Milliseconds to gather messages for one frame.", minimum=0, maximum=20
+        1.0, "Milliseconds to collect messages for a frame.", minimum=0, maximum=20
     )
-    open_timeout_s = ConfigItem(2.0, "Seconds to open a link.", minimum=0.1)
+    open_timeout_s = ConfigItem(2.0, "Maximum seconds to open a link.", minimum=0.1)
     tls_certificate = ConfigItem("", "PEM file of this instance's certificate.")
     tls_key = ConfigItem("", "PEM file of the certificate's key.")
     tls_ca = ConfigItem("", "PEM file of the CA that signs all peers.")
--- a/packages/buckthornwall/src/buckthornwall/peers/agent.py
+++ b/packages/buckthornwall/src/buckthornwall/peers/agent.py
@@ -41,49 +41,53 @@
 
     listen = ConfigItem(
         "",
-        "Address for beacons (UDP) and views (TCP), as IP:port; the port is the "
-        "same throughout the fleet.",
+        "Address for beacons (UDP) and views (TCP), as IP:port; all instances of the "
+        "fleet use the same port.",
         required=True,
     )
     seeds = ConfigItem(
-        [], "Instances to greet first, as IP:port; only the IP number is used."
+        [],
+        "Instances to contact first, as IP:port; only the IP address is used.",
     )
     weight = ConfigItem(
         1.0,
-        "How much this instance can carry for others, such as its link in Mbit/s; "
-        "those that can carry most speak for their zone.",
+        "Capacity of this instance for relaying reports, such as its bandwidth in "
+        "Mbit/s; the instance of a zone with the highest becomes its speaker, the "
+        "leader that aggregates and relays the reports of the zone.",
         minimum=0,
     )
     beacon_ms = ConfigItem(
         100.0, "Milliseconds between two beacons to the zone's speaker.", minimum=10
     )
     digest_ms = ConfigItem(
-        100.0, "Milliseconds between two words of a speaker.", minimum=10
+        100.0, "Milliseconds between two reports of a speaker.", minimum=10
     )
     digest_bytes_per_s = ConfigItem(
         5000.0,
-        "Most bytes that a speaker sends one member in a second; where digests would "
-        "take more, counts of work come between them.",
+        "Maximum bytes a second that a speaker sends to one member; where digests "
+        "would take more, counts of work are sent between them.",
         minimum=100,
     )
     zone_bytes_per_s = ConfigItem(
         8000.0,
-        "Most bytes that a speaker sends another zone's speaker in a second.",
+        "Maximum bytes a second that a speaker sends to another zone's speaker.",
         minimum=100,
     )
     heartbeat_ms = ConfigItem(
         200.0,
-        "Milliseconds between two heartbeats of a speaker whose words are further "
-        "apart.",
+        "Milliseconds between two heartbeats of a speaker that sends reports less "
+        "often.",
         minimum=10,
     )
     silence_ms = ConfigItem(
-        800.0, "Milliseconds of silence after which a peer counts as gone.", minimum=50
+        800.0,
+        "Milliseconds without a message after which a peer is taken to be lost.",
+        minimum=50,
     )
     stagger_ms = ConfigItem(
         100.0,
-        "Milliseconds by which each instance of a zone follows the one before it, "
-        "where their speaker is gone.",
+        "Milliseconds that an instance waits for each one of higher priority before "
+        "it takes over from a lost speaker.",
         minimum=0,
     )
 
--- a/packages/buckthornwall/src/buckthornwall/platform/client.py
+++ b/packages/buckthornwall/src/buckthornwall/platform/client.py
@@ -37,10 +37,10 @@
 
     address = ConfigItem("", "The platform's store, as IP:port.", required=True)
     watch_s = ConfigItem(
-        30.0, "Seconds that one watch waits for news.", minimum=0.1, maximum=30
+        30.0, "Seconds that a watch waits for a change.", minimum=0.1, maximum=30
     )
     retry_limit_s = ConfigItem(
-        2.0, "Longest pause in seconds after a failed read.", minimum=0.1
+        2.0, "Maximum seconds between a failed read and the next.", minimum=0.1
     )
 
 
--- a/packages/buckthornwall/src/buckthornwall/platform/store.py
+++ b/packages/buckthornwall/src/buckthornwall/platform/store.py
@@ -35,10 +35,12 @@
 
     address = ConfigItem("", "The platform's store, as IP:port.", required=True)
     connect_timeout_ms = ConfigItem(
-        500.0, "Milliseconds to connect to the store.", minimum=1
+        500.0, "Maximum milliseconds to connect to the store.", minimum=1
     )
     answer_timeout_ms = ConfigItem(
-        1000.0, "Milliseconds for an answer, beside the wait of a watch.", minimum=1
+        1000.0,
+        "Maximum milliseconds for an answer, in addition to the wait of a watch.",
+        minimum=1,
     )
 
 
--- a/packages/buckthornwall/src/buckthornwall/quarantine/settings.py
+++ b/packages/buckthornwall/src/buckthornwall/quarantine/settings.py
@@ -12,16 +12,14 @@
 
     crashes = ConfigItem(
         3,
-        "Upstreams that ended beneath a request, without a run that went well, after "
-        "which it is refused.",
+        "Upstreams that crashed while they ran a request, with no successful run of "
+        "it, after which the request is refused.",
         minimum=2,
     )
     forget_s = ConfigItem(
         600.0,
-        "Seconds without that request, or without another crash, after which it may "
+        "Seconds without that request and without another crash after which it may "
         "run again.",
         minimum=1,
     )
-    most_requests = ConfigItem(
-        1000, "Requests that are kept in memory at most.", minimum=1
-    )
+    most_requests = ConfigItem(1000, "Maximum requests that are remembered.", minimum=1)
--- a/packages/buckthornwall/src/buckthornwall/settings/node.py
+++ b/packages/buckthornwall/src/buckthornwall/settings/node.py
@@ -14,8 +14,8 @@
     zone = ConfigItem("", "Availability zone of this instance.", required=True)
     regions = ConfigItem(
         [],
-        "Regions of all availability zones, as zone=region; upstreams of others are "
-        "in no region.",
+        "Region of each availability zone, as zone=region; upstreams in zones that "
+        "are not listed have no region.",
     )
 
     def region_by_zone(self) -> dict[ZoneId, RegionId]:
--- a/packages/buckthornwall/src/buckthornwall/settings/router.py
+++ b/packages/buckthornwall/src/buckthornwall/settings/router.py
@@ -22,12 +22,16 @@
 
     section = "edge"
 
-    listen = ConfigItem("", "Where callers connect, as IP:port.", required=True)
+    listen = ConfigItem(
+        "", "Address that clients connect to, as IP:port.", required=True
+    )
     ready = ConfigItem(
-        "", "Where the balancer asks for readiness, as IP:port.", required=True
+        "",
+        "Address of the readiness endpoint for the load balancer, as IP:port.",
+        required=True,
     )
     metrics = ConfigItem(
-        "", "Where metrics and status are shown, as IP:port.", required=True
+        "", "Address of the metrics and status endpoints, as IP:port.", required=True
     )
 
 
@@ -37,12 +41,14 @@
     section = "stop"
 
     grace_s = ConfigItem(
-        8.0, "Seconds from the signal until the process is killed.", minimum=1
+        8.0,
+        "Seconds from the termination signal until the process is killed.",
+        minimum=1,
     )
     notice_s = ConfigItem(
         2.6,
-        "Seconds until the balancer has taken this instance out: two questions, "
-        "a second apart, and their ways.",
+        "Seconds until the load balancer has removed this instance: two readiness "
+        "checks, a second apart, and their network delay.",
         minimum=0,
     )
 
--- a/packages/buckthornwall/src/buckthornwall/telemetry/logs.py
+++ b/packages/buckthornwall/src/buckthornwall/telemetry/logs.py
@@ -23,15 +23,15 @@
 
     section = "telemetry"
 
-    log_level = ConfigItem("INFO", "Least level that is logged.", choices=LEVELS)
+    log_level = ConfigItem("INFO", "Lowest level that is logged.", choices=LEVELS)
     trace_ratio = ConfigItem(
-        0.0, "Share of requests to trace, 0 to 1.", minimum=0, maximum=1
+        0.0, "Fraction of requests to trace, 0 to 1.", minimum=0, maximum=1
     )
     lines_per_s = ConfigItem(
-        50.0, "Log lines of one event and level in a second.", minimum=1
+        50.0, "Maximum log lines a second of one event and level.", minimum=1
     )
     lines_burst = ConfigItem(
-        200.0, "Log lines of one event and level that may come at once.", minimum=1
+        200.0, "Maximum burst of log lines of one event and level.", minimum=1
     )
 
 
--- a/packages/buckthornwall/src/buckthornwall/upstreams/engine.py
+++ b/packages/buckthornwall/src/buckthornwall/upstreams/engine.py
@@ -31,21 +31,21 @@
 
     section = "upstreams"
 
-    connect_s = ConfigItem(1.0, "Seconds to connect.", minimum=0.05)
+    connect_s = ConfigItem(1.0, "Maximum seconds to connect.", minimum=0.05)
     stall_s = ConfigItem(
-        5.0, "Seconds without a byte after which a stream is broken.", minimum=0.1
+        5.0, "Seconds without a byte after which a stream has failed.", minimum=0.1
     )
     coalesce_ms = ConfigItem(
         15.0,
-        "Milliseconds within which chunks are sent on together.",
+        "Milliseconds for which chunks are collected and then relayed together.",
         minimum=0,
         maximum=25,
     )
     retry_ratio = ConfigItem(
         0.1, "Retries allowed for each first attempt.", minimum=0, maximum=1
     )
-    retry_reserve = ConfigItem(20.0, "Most retries saved up.", minimum=1)
-    max_connections = ConfigItem(2000, "Most connections to upstreams.", minimum=1)
+    retry_reserve = ConfigItem(20.0, "Maximum of retries saved up.", minimum=1)
+    max_connections = ConfigItem(2000, "Maximum connections to upstreams.", minimum=1)
 
 
 def sse_events(buffer: bytearray) -> list[bytes]:
