--- a/packages/buckthornwall/src/buckthornwall/codes/__init__.py
+++ b/packages/buckthornwall/src/buckthornwall/codes/__init__.py
@@ -1,4 +1,4 @@
-"""Numbered result codes and the root of all exceptions."""
+"""Numbered result codes and the exceptions that carry them."""
 
 from .core import (
     BuckthornwallError,
--- a/packages/buckthornwall/src/buckthornwall/codes/__main__.py
+++ b/packages/buckthornwall/src/buckthornwall/codes/__main__.py
@@ -1,4 +1,4 @@
-"""Print the table of result codes that docs/codes.md holds."""
+"""Print the page docs/codes.md."""
 
 from .core import render_table
 
--- a/packages/buckthornwall/src/buckthornwall/codes/core.py
+++ b/packages/buckthornwall/src/buckthornwall/codes/core.py
@@ -1,7 +1,7 @@
-"""Result codes: one number for each outcome that is not a plain success.
+"""Result codes: a number for each outcome other than success.
 
-The thousands digit tells the family: 1 the caller's request, 2 load and
-scheduling, 3 upstreams, 4 idempotent calls, 5 records, 6 settings, 7 peers.
+The thousands digit is the category: 1 the client's request, 2 load and scheduling,
+3 upstreams, 4 idempotent calls, 5 records, 6 settings, 7 peers.
 """
 
 from enum import Enum
@@ -21,7 +21,7 @@
 
 
 class Executed(Enum):
-    """Whether the request that an answer refuses was run by an upstream."""
+    """Whether an upstream executed a request that is refused."""
 
     NO = "no"
     YES = "yes"
@@ -29,7 +29,7 @@
 
 
 class ResultCode(Enum):
-    """Number, HTTP status, meaning, and what the reader of it should do."""
+    """Number, HTTP status, meaning, and the action that the reader should take."""
 
     MALFORMED_BODY = (1001, 400, "the body is not valid", "mend the named field")
     BODY_TOO_LARGE = (1002, 413, "the body is over the limit", "send less")
@@ -205,14 +205,14 @@
 
 
 class BuckthornwallError(Exception):
-    """Root of all exceptions of the package.
+    """Base class of all exceptions of the package.
 
     Parameters
     ----------
     code
         The numbered result code.
     detail
-        What exactly was wrong, in a few words.
+        What exactly is wrong, in a few words; the code's meaning if empty.
     """
 
     def __init__(self, code: ResultCode, detail: str = "") -> None:
@@ -222,16 +222,16 @@
 
 
 class Refusal(BuckthornwallError):
-    """The final answer to a caller whose request is not served.
+    """A request is refused; this is the final answer to its client.
 
     Parameters
     ----------
     code, detail
         See `BuckthornwallError`.
     run
-        Whether an upstream ran the request.
+        Whether an upstream executed the request.
     retry_after_s
-        Seconds after which sending again is worth while, if known.
+        Seconds after which the client may retry, if known.
     """
 
     def __init__(
@@ -247,19 +247,19 @@
 
 
 class RecordError(BuckthornwallError):
-    """A published record, or a whole set, cannot be taken."""
+    """A published record, or a set of records, is not accepted."""
 
 
 class SettingsError(BuckthornwallError):
-    """The settings of an instance cannot be taken."""
+    """The settings of an instance are not accepted."""
 
 
 class PeerError(BuckthornwallError):
-    """Another instance, or the platform, did not keep to the protocol."""
+    """Another instance, or the platform, violated the protocol."""
 
 
 class UpstreamError(BuckthornwallError):
-    """An engine or a service failed an attempt.
+    """An attempt at an upstream failed.
 
     Parameters
     ----------
@@ -275,11 +275,11 @@
 
 
 class BuckthornwallWarning(UserWarning):
-    """Root of all warnings of the package."""
+    """Base class of all warnings of the package."""
 
 
 def render_table() -> str:
-    """Return the Markdown page that lists every code."""
+    """Return the Markdown page that lists all codes."""
     lines = [
         "# Result codes",
         "",
--- a/packages/buckthornwall/src/buckthornwall/codes/tests/test_codes.py
+++ b/packages/buckthornwall/src/buckthornwall/codes/tests/test_codes.py
@@ -12,5 +12,5 @@
     assert len(numbers) == len(set(numbers))
 
 
-def test_page_in_docs_is_the_table():
+def test_docs_page_matches_the_codes():
     assert PAGE.read_text(encoding="utf-8") == render_table()
--- a/packages/buckthornwall/src/buckthornwall/telemetry/limits.py
+++ b/packages/buckthornwall/src/buckthornwall/telemetry/limits.py
@@ -1,4 +1,4 @@
-"""How many lines of one event may be logged."""
+"""A rate limit for log lines."""
 
 from buckthornwall.utils import Clock
 
@@ -6,16 +6,16 @@
 
 
 class LineLimiter:
-    """A token bucket for each kind of event, and a count of what it left out.
+    """A token bucket for each kind of line, and a count of the suppressed lines.
 
     Parameters
     ----------
     clock
         Source of time.
     lines_per_s
-        Lines of one kind in a second, on average.
+        Maximum average rate of the lines of one kind.
     burst
-        Lines of one kind that may come at once.
+        Maximum lines of one kind at once.
     """
 
     def __init__(self, clock: Clock, lines_per_s: float, burst: float) -> None:
@@ -26,16 +26,16 @@
         self._suppressed: dict[str, int] = {}
 
     def allow(self, kind: str) -> bool:
-        """Take a line of a kind, or count it as left out."""
+        """Return whether a line of a kind may be logged; count it if it may not."""
         now = self.clock.now()
-        tokens, at = self._buckets.get(kind, (self.burst, now))
-        tokens = min(self.burst, tokens + (now - at) * self.lines_per_s)
-        is_allowed = tokens >= 1
-        self._buckets[kind] = (tokens - 1 if is_allowed else tokens, now)
-        if not is_allowed:
+        tokens, filled_at = self._buckets.get(kind, (self.burst, now))
+        tokens = min(self.burst, tokens + (now - filled_at) * self.lines_per_s)
+        allowed = tokens >= 1
+        self._buckets[kind] = (tokens - 1 if allowed else tokens, now)
+        if not allowed:
             self._suppressed[kind] = self._suppressed.get(kind, 0) + 1
-        return is_allowed
+        return allowed
 
     def take_suppressed(self, kind: str) -> int:
-        """Return how many lines of a kind were left out since the last time."""
+        """Return how many lines of a kind were suppressed since the last call."""
         return self._suppressed.pop(kind, 0)
--- a/packages/buckthornwall/src/buckthornwall/telemetry/logs.py
+++ b/packages/buckthornwall/src/buckthornwall/telemetry/logs.py
@@ -1,4 +1,4 @@
-"""One line of key=value pairs for each event, through loguru."""
+"""Logs each event as one line of key=value pairs, through loguru."""
 
 import time
 from typing import Any
@@ -13,7 +13,7 @@
 __all__ = ["TelemetrySettings", "configure_logs", "log_event"]
 
 LEVELS = ("DEBUG", "INFO", "WARNING", "ERROR")
-LINE = "time={time:YYYY-MM-DDTHH:mm:ss.SSSZ} level={level} {message}\n"
+LINE_FORMAT = "time={time:YYYY-MM-DDTHH:mm:ss.SSSZ} level={level} {message}\n"
 STDOUT = 1
 NEEDS_QUOTES = frozenset(' "=\n\t')
 
@@ -36,30 +36,30 @@
 
 
 class _SystemClock:
-    """Monotonic time for the limits, also before trio runs."""
+    """Monotonic time for the line limiter, which also works before trio runs."""
 
     def now(self) -> float:
         return time.monotonic()
 
 
 class _InstalledLimiter:
-    """The limiter in force; tests and tools run without one."""
+    """The limiter in use; None in tests and tools."""
 
     limiter: LineLimiter | None = None
 
 
 def configure_logs(settings: TelemetrySettings, node: str) -> None:
-    """Send events to standard output, bounded and without ever waiting.
+    """Log events to standard output, rate-limited and without blocking.
 
     Parameters
     ----------
     settings
         The ``[telemetry]`` section.
     node
-        Name of this instance, on every line.
+        Name of this instance, written on every line.
     """
     logger.remove()
-    line = LINE.replace("{message}", f"node={node} {{message}}")
+    line = LINE_FORMAT.replace("{message}", f"node={node} {{message}}")
     writer = PipeWriter(STDOUT)
     logger.add(writer.write, level=settings.log_level, format=lambda record: line)
     _InstalledLimiter.limiter = LineLimiter(
@@ -67,7 +67,7 @@
     )
 
 
-def _value(value: Any) -> str:
+def _format_value(value: Any) -> str:
     text = str(value)
     if not text or NEEDS_QUOTES & set(text):
         return '"' + text.replace('"', "'").replace("\n", " ") + '"'
@@ -80,12 +80,13 @@
     Parameters
     ----------
     event
-        Its name, in lower case with underscores.
+        Name of the event, in lower case with underscores.
     level
         One of `LEVELS`.
     **fields
-        Further pairs; a value with blanks is quoted. ``left_out`` is added
-        where lines of the same event and level were left out before this one.
+        Further pairs; values with white space, quotes or equals signs are quoted.
+        ``left_out`` is added with the number of lines of the same event and level
+        that were suppressed before this one.
     """
     limiter = _InstalledLimiter.limiter
     if limiter is not None:
@@ -96,6 +97,6 @@
         if suppressed:
             fields["left_out"] = suppressed
     pairs = [f"event={event}"]
-    pairs += [f"{key}={_value(value)}" for key, value in fields.items()]
-    # The line is an argument, so that braces in a value are not formatted.
+    pairs += [f"{key}={_format_value(value)}" for key, value in fields.items()]
+    # Passed as an argument, so that loguru does not format braces in a value.
     logger.log(level, "{}", " ".join(pairs))
--- a/packages/buckthornwall/src/buckthornwall/telemetry/metrics.py
+++ b/packages/buckthornwall/src/buckthornwall/telemetry/metrics.py
@@ -1,4 +1,4 @@
-"""The metrics of one instance, in a registry of its own."""
+"""The metrics of an instance, in a registry of its own."""
 
 from aioprometheus import Counter, Gauge, Histogram, Registry
 from aioprometheus.renderer import render
@@ -9,37 +9,43 @@
 PREFIX = "buckthornwall_"
 
 
-class Collectors:
-    """A registry; collectors are attributes, labels are given at the call."""
+class MetricsRegistry:
+    """A registry; collectors are attributes, and labels are given at each call."""
 
     def __init__(self) -> None:
         self.registry = Registry()
         self.gauges: dict[str, Gauge] = {}
 
-    def _counter(self, name: str, doc: str) -> Counter:
-        return Counter(PREFIX + name, doc, registry=self.registry)
+    def _counter(self, name: str, help_text: str) -> Counter:
+        return Counter(PREFIX + name, help_text, registry=self.registry)
 
-    def _histogram(self, name: str, doc: str) -> Histogram:
+    def _histogram(self, name: str, help_text: str) -> Histogram:
         return Histogram(
-            PREFIX + name, doc, registry=self.registry, buckets=LATENCY_BUCKETS
+            PREFIX + name, help_text, registry=self.registry, buckets=LATENCY_BUCKETS
         )
 
-    def set_gauge(self, name: str, doc: str, value: float) -> None:
-        """Set a gauge without labels, made at its first use."""
+    def set_gauge(self, name: str, help_text: str, value: float) -> None:
+        """Set a gauge without labels; it is created when it is first set."""
         gauge = self.gauges.get(name)
         if gauge is None:
             gauge = self.gauges[name] = Gauge(
-                PREFIX + name, doc, registry=self.registry
+                PREFIX + name, help_text, registry=self.registry
             )
         gauge.set({}, value)
 
     def render(self, accept: str) -> tuple[bytes, dict[str, str]]:
-        """Return body and headers of the exposition."""
+        """Return the metrics as body and headers of a response.
+
+        Parameters
+        ----------
+        accept
+            The ``Accept`` header of the request, which selects the format.
+        """
         return render(self.registry, [accept])
 
 
-class Metrics(Collectors):
-    """What an instance with the completions interface counts."""
+class Metrics(MetricsRegistry):
+    """The metrics of an instance with the completions interface."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -60,8 +66,8 @@
         )
 
 
-class RouterMetrics(Collectors):
-    """What an instance behind the platform's balancer counts."""
+class RouterMetrics(MetricsRegistry):
+    """The metrics of an instance behind the platform's load balancer."""
 
     def __init__(self) -> None:
         super().__init__()
--- a/packages/buckthornwall/src/buckthornwall/telemetry/output.py
+++ b/packages/buckthornwall/src/buckthornwall/telemetry/output.py
@@ -1,24 +1,24 @@
-"""Writing lines where a reader may stop reading."""
+"""Writes lines to a pipe without blocking if its reader stops reading."""
 
 import os
 import select
 
 __all__ = ["PipeWriter"]
 
-# POSIX: a pipe that is ready to be written takes this many bytes at once.
+# POSIX (PIPE_BUF): a writable pipe accepts this many bytes in one write.
 ATOMIC_BYTES = 4096
 
 
 class PipeWriter:
-    """Writes whole lines to a descriptor, and never waits for its reader.
+    """Writes lines to a descriptor without blocking.
 
-    A line that the reader has no room for is dropped and counted; the count is
-    written as soon as there is room again.
+    A line is dropped and counted while the pipe is full; the count is written with
+    the first line after that. Lines over `ATOMIC_BYTES` are truncated.
 
     Parameters
     ----------
     descriptor
-        An open pipe, file or terminal.
+        Descriptor of an open pipe, file or terminal.
     """
 
     def __init__(self, descriptor: int) -> None:
@@ -42,7 +42,7 @@
         try:
             os.write(self.descriptor, data)
         except OSError:
-            self.dropped += 1  # nobody reads any more; the count is all there is
+            self.dropped += 1  # the reader has closed the pipe
 
     def _has_room(self) -> bool:
         return any(event & select.POLLOUT for _, event in self._poll.poll(0))
--- a/packages/buckthornwall/src/buckthornwall/telemetry/tests/test_output.py
+++ b/packages/buckthornwall/src/buckthornwall/telemetry/tests/test_output.py
@@ -1,4 +1,4 @@
-"""Tests that logging is bounded, and that no reader can stall it."""
+"""Tests that logging is rate-limited, and that a stalled reader does not block it."""
 
 import os
 import time
@@ -15,14 +15,14 @@
 
 @pytest.fixture
 def pipe():
-    """Return both ends of a pipe that nobody reads yet."""
+    """Return the read and write ends of a pipe that is not read yet."""
     reader, writer = os.pipe()
     yield reader, writer
     os.close(reader)
     os.close(writer)
 
 
-def test_a_reader_that_stops_never_stalls_the_writer(pipe):
+def test_stalled_reader_does_not_block_writer(pipe):
     reader, descriptor = pipe
     writer = PipeWriter(descriptor)
     started = time.monotonic()
@@ -37,7 +37,7 @@
     assert text.endswith(f"event=lines_dropped count={dropped}\nevent=again\n")
 
 
-def test_every_line_that_is_written_is_whole(pipe):
+def test_long_lines_are_truncated_not_split(pipe):
     reader, descriptor = pipe
     writer = PipeWriter(descriptor)
     for _ in range(LINES):
@@ -47,7 +47,7 @@
     assert {len(line) for line in lines[:-1]} == {4095}
 
 
-def test_a_writer_without_a_reader_goes_on():
+def test_closed_reader_does_not_raise():
     reader, descriptor = os.pipe()
     os.close(reader)
     writer = PipeWriter(descriptor)
@@ -56,7 +56,7 @@
     assert writer.dropped == 1
 
 
-def test_a_kind_is_bounded_and_says_what_it_left_out(clock):
+def test_limiter_bounds_each_kind_and_counts_suppressed_lines(clock):
     limiter = LineLimiter(clock, lines_per_s=10, burst=5)
     assert sum(limiter.allow("many") for _ in range(100)) == 5
     assert limiter.allow("failure")
@@ -66,23 +66,23 @@
     assert sum(limiter.allow("many") for _ in range(100)) == 5
 
 
-def test_the_count_of_what_was_left_out_stands_on_the_next_line(clock, monkeypatch):
-    found = []
+def test_next_line_has_count_of_suppressed_lines(clock, monkeypatch):
+    logged = []
     logger.remove()
-    handler = logger.add(lambda text: found.append(str(text)), format="{message}")
+    handler = logger.add(lambda text: logged.append(str(text)), format="{message}")
     monkeypatch.setattr(logs._InstalledLimiter, "limiter", LineLimiter(clock, 1, 1))
     for _ in range(4):
         logs.log_event("many", value=1)
     clock.time += 1
     logs.log_event("many", value=2)
     logger.remove(handler)
-    assert [line.strip() for line in found] == [
+    assert [line.strip() for line in logged] == [
         "event=many value=1",
         "event=many value=2 left_out=3",
     ]
 
 
-def test_each_line_names_its_instance(pipe, monkeypatch):
+def test_each_line_has_instance_name(pipe, monkeypatch):
     reader, descriptor = pipe
     monkeypatch.setattr(logs, "STDOUT", descriptor)
     monkeypatch.setattr(logs._InstalledLimiter, "limiter", None)
--- a/packages/buckthornwall/src/buckthornwall/telemetry/tests/test_telemetry.py
+++ b/packages/buckthornwall/src/buckthornwall/telemetry/tests/test_telemetry.py
@@ -11,34 +11,34 @@
 
 @pytest.fixture
 def lines():
-    """Collect what is logged."""
-    found = []
+    """Return the list of logged lines."""
+    logged = []
     logger.remove()
     handler = logger.add(
-        lambda text: found.append(str(text).strip()), format="{message}"
+        lambda text: logged.append(str(text).strip()), format="{message}"
     )
-    yield found
+    yield logged
     logger.remove(handler)
 
 
-def test_an_event_is_one_line_of_pairs(lines):
+def test_event_with_newlines_and_quotes_is_one_line(lines):
     log_event("refused", code=7, detail='two\nlines and "quotes"', empty="")
     assert lines == ['event=refused code=7 detail="two lines and \'quotes\'" empty=""']
 
 
-def test_braces_in_a_value_are_harmless(lines):
+def test_braces_in_value_are_not_formatted(lines):
     log_event("odd", detail="{} {x}")
     assert lines == ['event=odd detail="{} {x}"']
 
 
-def test_a_sampled_request_has_a_span_a_hop_under_one_trace(lines):
+def test_spans_of_sampled_request_share_its_trace(lines):
     tracing = Tracing("n1", 0.0)
     with (
         tracing.span("completion", SAMPLED, route="m") as outgoing,
-        tracing.span("upstream", outgoing, engine="e1") as last,
+        tracing.span("upstream", outgoing, engine="e1") as inner_traceparent,
     ):
         pass
-    assert last.split("-")[1] == "a" * 32
+    assert inner_traceparent.split("-")[1] == "a" * 32
     assert len(lines) == 2
     assert all("trace=" + "a" * 32 in line for line in lines)
     inner, outer = lines
@@ -47,7 +47,7 @@
 
 
 @pytest.mark.parametrize("traceparent", [None, UNSAMPLED])
-def test_an_unsampled_request_has_none_and_is_passed_on(lines, traceparent):
+def test_unsampled_request_has_no_span_and_keeps_traceparent(lines, traceparent):
     with Tracing("n1", 0.0).span("completion", traceparent) as outgoing:
         assert outgoing == traceparent
     assert lines == []
--- a/packages/buckthornwall/src/buckthornwall/telemetry/traces.py
+++ b/packages/buckthornwall/src/buckthornwall/telemetry/traces.py
@@ -1,4 +1,4 @@
-"""Spans for each hop, through OpenTelemetry, free of cost when unsampled."""
+"""OpenTelemetry spans for each hop; requests that are not sampled cost nothing."""
 
 from collections.abc import Iterator, Sequence
 from contextlib import contextmanager
@@ -25,7 +25,7 @@
 
 
 class LogSpanExporter(SpanExporter):
-    """Write each finished span as one event of the log."""
+    """Logs each finished span as an event."""
 
     def export(self, spans: Sequence[ReadableSpan]) -> SpanExportResult:
         """Log the spans."""
@@ -43,14 +43,14 @@
 
 
 class Tracing:
-    """Starts spans for the requests that are sampled.
+    """Starts spans for sampled requests.
 
     Parameters
     ----------
     node
-        Name of this instance, kept as the service's instance.
+        Name of this instance, recorded as the host name of its spans.
     ratio
-        Share of the requests without a sampled parent that are traced.
+        Fraction of the requests without a ``traceparent`` that are sampled.
     """
 
     def __init__(self, node: str, ratio: float) -> None:
@@ -66,16 +66,16 @@
     def span(
         self, name: str, traceparent: str | None, **attributes: Any
     ) -> Iterator[str | None]:
-        """Time a hop; give the ``traceparent`` to send onwards.
+        """Record a span for a hop; yield the ``traceparent`` for the next hop.
 
         Parameters
         ----------
         name
-            The hop.
+            Name of the span.
         traceparent
-            What came from the hop before, if anything did.
+            Header received from the previous hop, if any.
         **attributes
-            Kept with the span.
+            Attributes of the span.
         """
         sampled = traceparent is not None and traceparent.endswith(SAMPLED_SUFFIX)
         if not sampled and (traceparent is not None or not self.ratio):
