--- a/packages/buckthornwall/src/buckthornwall/codes/core.py
+++ b/packages/buckthornwall/src/buckthornwall/codes/core.py
@@ -44,7 +44,12 @@
     )
     UNKNOWN_PATH = (1007, 404, "nothing is served at this path", "check the path")
     METHOD_NOT_ALLOWED = (1008, 405, "the method is not served", "check the method")
-    TEAM_LIMIT = (1009, 429, "the team is at its limit in flight", "send later")
+    TEAM_LIMIT = (
+        1009,
+        429,
+        "the team has reached its limit of requests in flight",
+        "send later",
+    )
     HEAD_TOO_LARGE = (1010, 431, "the head is over the limit", "send less")
 
     OVERLOADED = (
@@ -77,14 +82,14 @@
     REQUEST_QUARANTINED = (
         2007,
         503,
-        "upstreams crashed again and again while they ran this request",
+        "several upstreams crashed while they ran this request",
         "change the request, or send it again after Retry-After",
     )
 
     UPSTREAMS_LIMITED = (
         2008,
         503,
-        "upstreams take only so many requests a second, and had as many",
+        "the upstreams have reached their limits of requests per second",
         "send again after Retry-After",
     )
 
@@ -189,7 +194,12 @@
     SETTINGS_UNREADABLE = (6004, 422, "the settings cannot be read", "check the file")
 
     PEER_UNAUTHENTICATED = (7001, 403, "a peer lacks the secret", "check peer_secret")
-    PEER_MESSAGE = (7002, 400, "a peer sent a message that is not known", "compare")
+    PEER_MESSAGE = (
+        7002,
+        400,
+        "a peer sent a message that is not valid",
+        "compare the two instances",
+    )
     PLATFORM_UNREACHABLE = (
         7003,
         503,
