--- a/packages/buckthornwall-standins/src/buckthornwall_standins/engine.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/engine.py
@@ -14,7 +14,7 @@
 
 import msgspec
 import trio
-from buckthornwall.gateway.http import CallerGone, Exchange
+from buckthornwall.gateway.http import ClientDisconnected, Exchange
 from buckthornwall.gateway.job import prefix_of
 
 from .asgi import json_app, serve_until_signal
@@ -184,7 +184,7 @@
                 nursery.start_soon(_cancel_when_gone, exchange, nursery)
                 await self._send_stream(exchange, sequence, chat, body)
                 nursery.cancel_scope.cancel()
-        except CallerGone:
+        except ClientDisconnected:
             pass
         finally:
             sequence.cancelled = True
@@ -278,7 +278,7 @@
 
 
 async def _cancel_when_gone(exchange: Exchange, nursery: trio.Nursery) -> None:
-    await exchange.wait_gone()
+    await exchange.wait_for_disconnect()
     nursery.cancel_scope.cancel()
 
 
--- a/packages/buckthornwall/src/buckthornwall/gateway/__init__.py
+++ b/packages/buckthornwall/src/buckthornwall/gateway/__init__.py
@@ -1,12 +1,12 @@
 """HTTP for callers and for operators, as ASGI applications."""
 
-from .app import CallerApp, GatewaySettings
+from .app import GatewayApp, GatewaySettings
 from .completions import CompletionHandler
 from .operators import OperatorApp, OperatorSettings
 from .services import ServiceHandler
 
 __all__ = [
-    "CallerApp",
+    "GatewayApp",
     "CompletionHandler",
     "GatewaySettings",
     "OperatorApp",
--- a/packages/buckthornwall/src/buckthornwall/gateway/app.py
+++ b/packages/buckthornwall/src/buckthornwall/gateway/app.py
@@ -10,10 +10,10 @@
 from buckthornwall.utils import ConfigItem, ConfigNamespace
 
 from .completions import CompletionHandler
-from .http import CallerGone, Exchange
+from .http import ClientDisconnected, Exchange
 from .services import ServiceHandler
 
-__all__ = ["CallerApp", "GatewaySettings"]
+__all__ = ["GatewayApp", "GatewaySettings"]
 
 SERVICES_PREFIX = "/services/"
 Handler = Callable[[Exchange], Awaitable[None]]
@@ -45,7 +45,7 @@
     tls_key = ConfigItem("", "PEM file of the certificate's key.")
 
 
-class CallerApp:
+class GatewayApp:
     """Dispatches callers' requests and answers whatever goes wrong.
 
     Parameters
@@ -101,7 +101,7 @@
     async def _serve(self, exchange: Exchange) -> None:
         try:
             await self._dispatch(exchange)
-        except CallerGone:
+        except ClientDisconnected:
             log_event("caller_gone", "DEBUG", path=exchange.path)
         except Refusal as refusal:
             await self._refuse(exchange, refusal)
--- a/packages/buckthornwall/src/buckthornwall/gateway/completions.py
+++ b/packages/buckthornwall/src/buckthornwall/gateway/completions.py
@@ -17,7 +17,7 @@
 from buckthornwall.utils import AttemptId, Clock, ModelId, UpstreamId, new_id
 
 from .answer import CollectedAnswer, StreamedAnswer, has_finish_reason
-from .http import CallerGone, Exchange
+from .http import ClientDisconnected, Exchange
 from .job import CHAT_PATH, CompletionJob, check_body, prefix_of
 from .pace import Pace
 
@@ -104,29 +104,31 @@
         outcome = "cut"
         try:
             with self.teams.hold(team):
-                await self._run_until_gone(exchange, job)
+                await self._run_until_disconnect(exchange, job)
             outcome = "served"
         except Refusal:
             outcome = "refused"
             raise
-        except CallerGone:
+        except ClientDisconnected:
             outcome = "gone"
             raise
         finally:
             self._count(job, outcome)
 
-    async def _run_until_gone(self, exchange: Exchange, job: CompletionJob) -> None:
-        gone = False
+    async def _run_until_disconnect(
+        self, exchange: Exchange, job: CompletionJob
+    ) -> None:
+        disconnected = False
         failure: Refusal | None = None
         async with trio.open_nursery() as nursery:
 
-            async def watch() -> None:
-                nonlocal gone
-                await exchange.wait_gone()
-                gone = True
+            async def watch_connection() -> None:
+                nonlocal disconnected
+                await exchange.wait_for_disconnect()
+                disconnected = True
                 nursery.cancel_scope.cancel()
 
-            nursery.start_soon(watch)
+            nursery.start_soon(watch_connection)
             try:
                 with self.tracing.span(
                     "completion", job.traceparent, route=job.admitted.route.id
@@ -138,8 +140,8 @@
             nursery.cancel_scope.cancel()
         if failure is not None:
             raise failure
-        if gone and not job.answer.finished:
-            raise CallerGone
+        if disconnected and not job.answer.finished:
+            raise ClientDisconnected
 
     async def _run(self, job: CompletionJob) -> None:
         """Make attempts until the answer is whole or there is no use in more.
--- a/packages/buckthornwall/src/buckthornwall/gateway/http.py
+++ b/packages/buckthornwall/src/buckthornwall/gateway/http.py
@@ -9,13 +9,13 @@
 from buckthornwall.codes import Refusal, ResultCode
 from buckthornwall.telemetry import log_event
 
-__all__ = ["CallerGone", "Exchange", "error_object"]
+__all__ = ["ClientDisconnected", "Exchange", "error_object"]
 
 JSON = "application/json"
 EVENT_STREAM = "text/event-stream"
 
 
-class CallerGone(Exception):  # noqa: N818 - it is a signal, not an error
+class ClientDisconnected(Exception):  # noqa: N818 - it is a signal, not an error
     """The caller has closed the connection."""
 
 
@@ -62,7 +62,7 @@
         ------
         Refusal
             If it is too large or too slow.
-        CallerGone
+        ClientDisconnected
             If the caller closed the connection meanwhile.
         """
         body = bytearray()
@@ -71,7 +71,7 @@
                 while True:
                     event = await self.receive()
                     if event["type"] == "http.disconnect":
-                        raise CallerGone
+                        raise ClientDisconnected
                     body += event.get("body", b"")
                     if len(body) > limit_bytes:
                         self.close_after = True
@@ -82,7 +82,7 @@
             self.close_after = True
             raise Refusal(ResultCode.BODY_TOO_SLOW, f"{timeout_s} s") from None
 
-    async def wait_gone(self) -> None:
+    async def wait_for_disconnect(self) -> None:
         """Return when the caller has closed the connection."""
         while (await self.receive())["type"] != "http.disconnect":
             pass
--- a/packages/buckthornwall/src/buckthornwall/node/core.py
+++ b/packages/buckthornwall/src/buckthornwall/node/core.py
@@ -6,8 +6,8 @@
 
 from buckthornwall.admission import Admission, TeamConcurrencyLimiter
 from buckthornwall.gateway import (
-    CallerApp,
     CompletionHandler,
+    GatewayApp,
     OperatorApp,
     ServiceHandler,
 )
@@ -215,7 +215,7 @@
             settings.gateway,
             self.members.is_leaving,
         )
-        self.app = CallerApp(
+        self.app = GatewayApp(
             settings.gateway, admission, completions, self.services, self.metrics
         )
         self.operator_app = OperatorApp(
