--- a/packages/buckthornwall/src/buckthornwall/__init__.py
+++ b/packages/buckthornwall/src/buckthornwall/__init__.py
@@ -3,9 +3,9 @@
 Subpackages, in the order in which a request meets them:
 
 =============== ==========================================================
-`gateway`       callers' and operators' HTTP
+`gateway`       HTTP interfaces for clients and operators
 `records`       the published, versioned configuration
-`admission`     who the caller is, and which service class applies
+`admission`     the team of a request, and the service class that applies
 `scheduling`    order of service and the choice of an engine
 `upstreams`     streams from engines, calls to services, orders to engines
 `idempotency`   calls that may run at most once
@@ -14,22 +14,22 @@
 `platform`      client of the platform's configuration service
 `telemetry`     logs, metrics and traces
 `settings`      the INI file of one instance
-`codes`         numbered result codes and the root of all exceptions
+`codes`         numbered result codes and the exceptions that carry them
 `node`          the assembly that runs as ``buckthornwalld``
-`start`         what runs before the rest is imported
+`start`         opens the listener before the rest is imported
 =============== ==========================================================
 
-Behind the platform's balancer (``--interface platform``) these take their
-place; the rest is shared:
+Behind the platform's load balancer (``--interface platform``) these are used
+instead; the rest is shared:
 
 =============== ==========================================================
-`http1`         callers' and upstreams' connections
+`http1`         connections of clients and to upstreams
 `platform`      the platform's names, configuration and store
 `routing`       routes, teams and pools as the operator published them
-`pools`         upstreams: load, health, likely memory, placement
+`pools`         upstreams: load, health, cached prefixes, placement
 `forwarding`    attempts at upstreams until a request is answered
 `discovery`     watches the store and applies its updates
-`peers`         gossip between instances: membership, load, state in force
+`peers`         gossip between instances: membership, load, current state
 `router`        the assembly
 =============== ==========================================================
 """
--- a/packages/buckthornwall/src/buckthornwall/conftest.py
+++ b/packages/buckthornwall/src/buckthornwall/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures that several subpackages' tests share."""
+"""Fixtures for the tests of several subpackages."""
 
 import socket
 import struct
@@ -12,11 +12,11 @@
 from buckthornwall.records import RecordStore, parse_records
 
 KEY = "a-key"
-RESET = struct.pack("ii", 1, 0)  # linger for no time: closing resets
+RESET = struct.pack("ii", 1, 0)  # SO_LINGER of 0 s: closing resets the connection
 
 
 class ManualClock:
-    """A clock that stands until a test moves it."""
+    """A clock that advances only when a test sets `time`."""
 
     def __init__(self) -> None:
         self.time = 100.0
@@ -27,7 +27,7 @@
 
 
 def make_records(number: int = 1, **changes) -> dict:
-    """Return a small valid set; `changes` replace fields by record id."""
+    """Return a small valid set of records; `changes` replace fields by record id."""
     targets = {"first_token_s": 2.0, "inter_token_s": 0.1, "total_s": 20.0}
     records = [
         {"kind": "class", "schema": 2, "id": "urgent", "tier": 0, "targets": targets},
@@ -85,13 +85,13 @@
         },
     ]
     for record in records:
-        if record["kind"] != "route":  # which shares its id with the model
+        if record["kind"] != "route":  # a route has the same id as its model
             record.update(changes.get(record["id"], {}))
     return {"number": number, "records": records}
 
 
 def encode(records: dict) -> bytes:
-    """Return the set as the platform publishes it."""
+    """Return a set of records as the platform publishes it."""
     return msgspec.json.encode(records)
 
 
@@ -114,29 +114,29 @@
 
 @pytest.fixture
 async def raw_upstream(nursery):
-    """Return a function that starts a server which answers with given bytes.
+    """Return a function that starts a server and returns its address.
 
-    It writes the next entry of its script for each request that it reads; an
-    entry of None resets the connection, b'' closes it, and a number waits for
-    that many seconds before the next one. What it read is in `requests`, by
-    address.
+    For each request that it reads, the server plays the next entries of its script:
+    bytes are sent, a float is a wait in seconds before the next entry, None resets the
+    connection, and ``b""`` closes it. The attribute `requests` of the function has the
+    requests that were read, by address.
     """
 
-    async def start(*script):
-        left = list(script)
+    async def start_server(*script):
+        remaining = list(script)
         requests = []
 
-        async def talk(stream):
+        async def handle_connection(stream):
             async with stream:
-                while left and (request := await stream.receive_some()):
+                while remaining and (request := await stream.receive_some()):
                     requests.append(request)
-                    if not await play(stream):
+                    if not await play_script(stream):
                         return
 
-        async def play(stream):
-            """Play entries up to the next bytes; tell whether to go on."""
-            while left:
-                entry = left.pop(0)
+        async def play_script(stream):
+            """Play entries through the next bytes; return whether to go on reading."""
+            while remaining:
+                entry = remaining.pop(0)
                 if isinstance(entry, float):
                     await trio.sleep(entry)
                 elif entry is None:
@@ -144,16 +144,20 @@
                     return False
                 elif entry:
                     await stream.send_all(entry)
-                    return not left or left[0] not in (b"", None) or await play(stream)
+                    return (
+                        not remaining
+                        or remaining[0] not in (b"", None)
+                        or await play_script(stream)
+                    )
                 else:
                     return False
             return False
 
-        serve = partial(trio.serve_tcp, talk, 0, host="127.0.0.1")
+        serve = partial(trio.serve_tcp, handle_connection, 0, host="127.0.0.1")
         listeners = await nursery.start(serve)
         address = f"127.0.0.1:{listeners[0].socket.getsockname()[1]}"
-        start.requests[address] = requests
+        start_server.requests[address] = requests
         return address
 
-    start.requests = {}
-    return start
+    start_server.requests = {}
+    return start_server
--- a/packages/buckthornwall/src/buckthornwall/start.py
+++ b/packages/buckthornwall/src/buckthornwall/start.py
@@ -1,9 +1,9 @@
-"""The start of ``buckthornwalld``: callers can connect before the rest is imported.
+"""The start of ``buckthornwalld``: clients can connect before the rest is imported.
 
-Importing what an instance runs on takes ten times as long as the interpreter itself.
-Where all instances were killed at once, callers that came meanwhile were refused a
-connection twice and gave up; a connection that waits for the import is served after it.
-Nothing beside the standard library is imported here.
+Importing the libraries of an instance takes ten times as long as starting the
+interpreter. If all instances are killed at once, clients whose connections are refused
+meanwhile give up after the second attempt; a connection that is open during the import
+is served after it. Only the standard library is imported here.
 """
 
 import configparser
@@ -16,20 +16,21 @@
 __all__ = ["EarlyListeners", "main", "open_listeners"]
 
 STOP_SIGNALS = (signal.SIGTERM, signal.SIGINT)
-# Connections that wait for the import, as many as a listener takes later.
+# Connections that can wait for the import; the same as that of the server later.
 BACKLOG = 1024
 SETTINGS_OPTION = "--settings"
 
 
 class EarlyListeners:
-    """Listening sockets by address, and why one could not be opened.
+    """Listening sockets that are opened before the imports.
 
     Attributes
     ----------
     sockets : dict
-        Sockets by ``IP:port``; whoever serves one takes it out.
+        Sockets by ``IP:port``; the server that takes one over removes it.
     failure : str
-        Empty if all is well; the start goes on without, and says so.
+        Why a socket could not be opened, empty if none failed. The start continues
+        without the socket and logs the failure.
     """
 
     def __init__(self) -> None:
@@ -37,7 +38,7 @@
         self.failure = ""
 
     def open(self, address: str) -> None:
-        """Listen at ``IP:port``; what fails is noted, to be logged later."""
+        """Listen at ``IP:port``; record a failure, which is logged later."""
         host, _, port = address.rpartition(":")
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         try:
@@ -53,12 +54,12 @@
 
 
 def open_listeners(arguments: list[str]) -> EarlyListeners:
-    """Listen where the settings file says that callers connect.
+    """Listen at the address that the settings file gives for clients.
 
     Parameters
     ----------
     arguments
-        The command line; without a settings file nothing is opened.
+        The command line; no socket is opened if it names no settings file.
     """
     early = EarlyListeners()
     if SETTINGS_OPTION not in arguments[:-1]:
@@ -69,7 +70,7 @@
         parser.read(path, encoding="utf-8")
         address = parser.get("edge", "listen", fallback="")
     except (configparser.Error, UnicodeDecodeError) as error:
-        early.failure = str(error)  # the check of the settings will tell more
+        early.failure = str(error)  # the validation of the settings reports details
         return early
     if address:
         early.open(address)
@@ -77,7 +78,7 @@
 
 
 def _end_before_start(number: int, frame: FrameType | None) -> None:
-    """End a process that has nothing to finish, since it serves nobody yet."""
+    """Exit at once: the process serves no request yet."""
     raise SystemExit(0)
 
 
@@ -86,7 +87,8 @@
     for number in STOP_SIGNALS:
         signal.signal(number, _end_before_start)
     early = open_listeners(sys.argv[1:])
-    # What is imported stays: looking through it for garbage is a good part of a start.
+    # Imported objects are never freed, and garbage collection during the imports takes
+    # a considerable part of the start.
     gc.disable()
     from buckthornwall.node.main import main as run
 
--- a/packages/buckthornwall/src/buckthornwall/tests/test_start.py
+++ b/packages/buckthornwall/src/buckthornwall/tests/test_start.py
@@ -1,4 +1,4 @@
-"""Tests of the listener that is open before an instance is imported."""
+"""Tests of the listener that is opened before an instance is imported."""
 
 import socket
 import subprocess
@@ -26,27 +26,27 @@
         sock.close()
 
 
-async def test_a_caller_that_connects_before_the_start_is_served_after_it(
+async def test_client_that_connects_during_the_import_is_served_after_it(
     early, nursery
 ):
-    """Refused a connection, it asked once more and gave up."""
+    """A client whose connection is refused gives up after its second attempt."""
     address = free_address()
     early.open(address)
     host, port = address.split(":")
-    with socket.create_connection((host, int(port)), timeout=2) as caller:
-        caller.sendall(b"GET / HTTP/1.1\r\nHost: h\r\n\r\n")
+    with socket.create_connection((host, int(port)), timeout=2) as client:
+        client.sendall(b"GET / HTTP/1.1\r\nHost: h\r\n\r\n")
 
-        async def handle(request, answer):
-            await answer.send_complete(200, [], b"served")
+        async def handle(request, response):
+            await response.send_complete(200, [], b"served")
 
         limits = ServerLimits(8192, 0, 3.0, 30.0)
         server = HttpServer(TrioClock(), lambda: limits, handle)
         await nursery.start(server.run, address, early.sockets.pop(address))
-        reply = await trio.to_thread.run_sync(caller.recv, 4096)
-    assert reply.endswith(b"served")
+        received = await trio.to_thread.run_sync(client.recv, 4096)
+    assert received.endswith(b"served")
 
 
-def test_the_listener_is_the_one_that_the_settings_name(tmp_path):
+def test_listener_is_opened_at_the_address_in_the_settings(tmp_path):
     address = free_address()
     path = tmp_path / "settings.ini"
     path.write_text(f"[edge]\nlisten = {address}\n")
@@ -59,7 +59,7 @@
 @pytest.mark.parametrize(
     "text", ["[edge", "[edge]\nlisten = nowhere\n", "[edge]\nlisten = 127.0.0.1:99999"]
 )
-def test_what_cannot_be_opened_is_left_to_the_check_of_the_settings(tmp_path, text):
+def test_unreadable_settings_or_address_is_recorded_and_not_raised(tmp_path, text):
     path = tmp_path / "settings.ini"
     path.write_text(text)
     early = open_listeners(["--settings", str(path)])
@@ -68,12 +68,12 @@
 
 
 @pytest.mark.parametrize("arguments", [[], ["--settings"], ["--version"]])
-def test_without_a_settings_file_nothing_is_opened(arguments):
+def test_no_listener_is_opened_without_settings_file(arguments):
     early = open_listeners(arguments)
     assert (early.sockets, early.failure) == ({}, "")
 
 
-def test_little_is_imported_before_the_listener_is_open():
+def test_start_module_does_not_import_trio():
     code = "import sys, buckthornwall.start; print('trio' in sys.modules)"
-    ended = subprocess.run([sys.executable, "-c", code], capture_output=True)
-    assert ended.stdout.strip() == b"False"
+    process = subprocess.run([sys.executable, "-c", code], capture_output=True)
+    assert process.stdout.strip() == b"False"
--- a/packages/conftest.py
+++ b/packages/conftest.py
@@ -1,4 +1,4 @@
-"""Tests that KNOWN-RED.txt lists may fail: they are run, and named at the end."""
+"""Lets the tests listed in KNOWN-RED.txt fail, and prints them after the run."""
 
 from pathlib import Path
 
@@ -6,11 +6,11 @@
 from buckthornwall_standins.known_red import line_on, read_known_red
 
 LIST = Path(__file__).parent.parent / "KNOWN-RED.txt"
-OUTCOMES = {"xfailed": "red", "xpassed": "passed: take it off the list"}
+OUTCOMES = {"xfailed": "red", "xpassed": "passed: remove it from the list"}
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
-    """Let the listed tests fail, and no others."""
+    """Mark the listed tests, and no others, as expected to fail."""
     known = read_known_red(LIST)
     for item in items:
         line = line_on(known, item.nodeid)
@@ -19,7 +19,7 @@
 
 
 def pytest_terminal_summary(terminalreporter) -> None:
-    """Print the list, and what became of each test on it."""
+    """Print the list and the result of each test on it."""
     for outcome, words in OUTCOMES.items():
         for report in terminalreporter.getreports(outcome):
             terminalreporter.write_line(f"KNOWN RED ({words}): {report.nodeid}")
