--- a/packages/buckthornwall-standins/src/buckthornwall_standins/callers.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/callers.py
@@ -16,7 +16,7 @@
 import msgspec
 import trio
 from buckthornwall.platform.client import INSTANCES_PREFIX
-from buckthornwall.upstreams.engine import sse_events
+from buckthornwall.upstreams.engine import extract_sse_events
 from buckthornwall.utils import TRANSPORT_ERRORS
 
 from .deployments import ORDER_ROUTE, ClassLoad, Deployment, key_of
@@ -286,7 +286,7 @@
             buffer = bytearray()
             async for part in response.aiter_stream():
                 buffer += part
-                for event in sse_events(buffer):
+                for event in extract_sse_events(buffer):
                     self._take_event(event, outcome)
 
     def _take_event(self, event: bytes, outcome: Outcome) -> None:
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/engine.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/engine.py
@@ -15,7 +15,7 @@
 import msgspec
 import trio
 from buckthornwall.gateway.http import ClientDisconnected, Exchange
-from buckthornwall.gateway.job import prefix_of
+from buckthornwall.gateway.job import hash_prefix
 
 from .asgi import json_app, serve_until_signal
 
@@ -148,7 +148,7 @@
         return prefill_s
 
     def _uncached_tokens(self, body: dict[str, Any], size: int) -> int:
-        prefix = prefix_of(body)
+        prefix = hash_prefix(body)
         hit = prefix in self.prefixes
         self.prefixes[prefix] = None
         self.prefixes.move_to_end(prefix)
--- a/packages/buckthornwall/src/buckthornwall/gateway/completions.py
+++ b/packages/buckthornwall/src/buckthornwall/gateway/completions.py
@@ -18,7 +18,7 @@
 
 from .answer import CollectedAnswer, StreamedAnswer, has_finish_reason
 from .http import ClientDisconnected, Exchange
-from .job import CHAT_PATH, CompletionJob, check_body, prefix_of
+from .job import CHAT_PATH, CompletionJob, check_body, hash_prefix
 from .pace import Pace
 
 __all__ = ["CompletionHandler"]
@@ -98,7 +98,7 @@
             answer,
             started,
             exchange.headers.get("traceparent"),
-            prefix_of(body),
+            hash_prefix(body),
             len(raw) // CHARS_PER_TOKEN,
         )
         outcome = "cut"
@@ -189,7 +189,7 @@
             service_class,
             job.admitted.team.id,
             job.prompt_tokens,
-            job.prefix,
+            job.prefix_hash,
             job.started,
             list(excluded),
             resumed=bool(excluded) or job.preempted,
--- a/packages/buckthornwall/src/buckthornwall/gateway/job.py
+++ b/packages/buckthornwall/src/buckthornwall/gateway/job.py
@@ -11,11 +11,11 @@
 
 from .answer import Answer
 
-__all__ = ["CHAT_PATH", "CompletionJob", "check_body", "prefix_of"]
+__all__ = ["CHAT_PATH", "CompletionJob", "check_body", "hash_prefix"]
 
 CHAT_PATH = "/v1/chat/completions"
-PREFIX_CHARS = 1024
-PREFIX_BYTES = 6
+MAX_HASHED_BYTES = 1024
+HASH_BYTES = 6
 
 
 @dataclass
@@ -28,7 +28,7 @@
     answer: Answer
     started: float
     traceparent: str | None
-    prefix: int
+    prefix_hash: int
     prompt_tokens: int
     preempted: bool = False
     may_have_run: bool = False
@@ -88,8 +88,8 @@
     return body
 
 
-def prefix_of(body: dict[str, Any]) -> int:
+def hash_prefix(body: dict[str, Any]) -> int:
     """Return a hash of the prompt's beginning, for the engines' prefix caches."""
     prompt = body.get("messages", body.get("prompt"))
-    head = msgspec.json.encode(prompt)[:PREFIX_CHARS]
-    return int.from_bytes(blake2b(head, digest_size=PREFIX_BYTES).digest())
+    head = msgspec.json.encode(prompt)[:MAX_HASHED_BYTES]
+    return int.from_bytes(blake2b(head, digest_size=HASH_BYTES).digest())
--- a/packages/buckthornwall/src/buckthornwall/upstreams/engine.py
+++ b/packages/buckthornwall/src/buckthornwall/upstreams/engine.py
@@ -20,10 +20,10 @@
 
 EVENT_END = b"\n\n"
 DATA_PREFIX = b"data:"
-DONE = b"[DONE]"
-EVENT_LIMIT_BYTES = 2**20
-ERROR_LIMIT_CHARS = 300
-REFUSED_UNRUN = {429, 503}  # an engine says so before it starts
+DONE_DATA = b"[DONE]"
+MAX_EVENT_BYTES = 2**20
+MAX_ERROR_BYTES = 300
+NOT_EXECUTED_STATUSES = {429, 503}  # an engine says so before it starts
 
 
 class UpstreamSettings(ConfigNamespace):
@@ -48,16 +48,16 @@
     max_connections = ConfigItem(2000, "Maximum connections to upstreams.", minimum=1)
 
 
-def sse_events(buffer: bytearray) -> list[bytes]:
+def extract_sse_events(buffer: bytearray) -> list[bytes]:
     """Take the data of every whole server-sent event out of `buffer`."""
     end = buffer.rfind(EVENT_END)
     if end < 0:
         return []
-    whole = bytes(buffer[:end])
+    complete = bytes(buffer[:end])
     del buffer[: end + len(EVENT_END)]
     return [
         event[len(DATA_PREFIX) :].strip()
-        for event in whole.split(EVENT_END)
+        for event in complete.split(EVENT_END)
         if event.startswith(DATA_PREFIX)
     ]
 
@@ -118,7 +118,7 @@
         ]
         if traceparent:
             headers.append((b"traceparent", traceparent.encode()))
-        opened = self.pool.stream(
+        response_context = self.pool.stream(
             "POST",
             f"http://{engine.address}{path}",
             headers=headers,
@@ -126,10 +126,10 @@
             extensions={"timeout": self._timeouts()},
         )
         try:
-            async with opened as response:
+            async with response_context as response:
                 if response.status != 200:
-                    await self._raise_status(response)
-                async for chunks in self._chunks(response, attempt):
+                    await self._raise_for_status(response)
+                async for chunks in self._iter_chunks(response, attempt):
                     yield chunks
         except (httpcore.ConnectError, httpcore.ConnectTimeout) as error:
             raise UpstreamError(
@@ -138,25 +138,25 @@
         except TRANSPORT_ERRORS as error:
             raise UpstreamError(ResultCode.UPSTREAM_BROKEN, repr(error)) from error
 
-    async def _raise_status(self, response: httpcore.Response) -> None:
-        text = (await response.aread())[:ERROR_LIMIT_CHARS].decode(errors="replace")
+    async def _raise_for_status(self, response: httpcore.Response) -> None:
+        text = (await response.aread())[:MAX_ERROR_BYTES].decode(errors="replace")
         detail = f"status {response.status}: {text}"
-        if response.status in REFUSED_UNRUN:
+        if response.status in NOT_EXECUTED_STATUSES:
             raise UpstreamError(ResultCode.UPSTREAM_UNREACHABLE, detail, sent=False)
         if 400 <= response.status < 500:
             raise UpstreamError(ResultCode.UPSTREAM_REJECTED, detail, sent=False)
         raise UpstreamError(ResultCode.UPSTREAM_BROKEN, detail)
 
-    async def _chunks(
+    async def _iter_chunks(
         self, response: httpcore.Response, attempt: AttemptId
     ) -> AsyncIterator[list[dict[str, Any]]]:
         buffer = bytearray()
-        async for part in response.aiter_stream():
-            buffer += part
-            if len(buffer) > EVENT_LIMIT_BYTES:
+        async for data in response.aiter_stream():
+            buffer += data
+            if len(buffer) > MAX_EVENT_BYTES:
                 raise UpstreamError(ResultCode.UPSTREAM_GARBAGE, "an endless event")
-            events = sse_events(buffer)
-            done = bool(events) and events[-1] == DONE
+            events = extract_sse_events(buffer)
+            done = bool(events) and events[-1] == DONE_DATA
             chunks = self._decode(events[:-1] if done else events, attempt)
             if chunks:
                 yield chunks
--- a/packages/buckthornwall/src/buckthornwall/upstreams/tests/test_upstreams.py
+++ b/packages/buckthornwall/src/buckthornwall/upstreams/tests/test_upstreams.py
@@ -4,7 +4,7 @@
 from hypothesis import strategies as st
 
 from buckthornwall.upstreams import RetryBudget
-from buckthornwall.upstreams.engine import sse_events
+from buckthornwall.upstreams.engine import extract_sse_events
 
 
 def test_retries_are_a_share_of_first_attempts():
@@ -26,10 +26,10 @@
     found = []
     for start in range(0, len(stream), size):
         buffer += stream[start : start + size]
-        found += sse_events(buffer)
+        found += extract_sse_events(buffer)
     assert found == events
     assert not buffer
 
 
 def test_other_lines_are_passed_over():
-    assert sse_events(bytearray(b": ping\n\ndata: x\n\n")) == [b"x"]
+    assert extract_sse_events(bytearray(b": ping\n\ndata: x\n\n")) == [b"x"]
