--- a/packages/buckthornwall/src/buckthornwall/node/core.py
+++ b/packages/buckthornwall/src/buckthornwall/node/core.py
@@ -40,8 +40,8 @@
 from buckthornwall.settings import Settings
 from buckthornwall.telemetry import Metrics, Tracing, log_event
 from buckthornwall.upstreams import (
+    AdapterReconciler,
     EngineClient,
-    OrderAgent,
     RetryBudget,
     ServiceClient,
 )
@@ -132,7 +132,7 @@
         self.engines = EngineClient(upstreams, pools.engine_pool, self.clock)
         self.service_client = ServiceClient(upstreams, pools.service_pool)
         self.budget = RetryBudget(upstreams.retry_ratio, upstreams.retry_reserve)
-        self.orders = OrderAgent(
+        self.adapter_reconciler = AdapterReconciler(
             upstreams,
             pools.order_pool,
             self.store,
@@ -330,7 +330,7 @@
                 self.scheduler.run,
                 self.entry.share_leases.run,
                 self.loads.run,
-                self.orders.run,
+                self.adapter_reconciler.run,
             ):
                 nursery.start_soon(task)
             await nursery.start(self._serve_operators)
--- a/packages/buckthornwall/src/buckthornwall/upstreams/__init__.py
+++ b/packages/buckthornwall/src/buckthornwall/upstreams/__init__.py
@@ -6,7 +6,7 @@
 
 __all__ = [
     "EngineClient",  # noqa: F822 - imported at its first use
-    "OrderAgent",  # noqa: F822 - imported at its first use
+    "AdapterReconciler",  # noqa: F822 - imported at its first use
     "RetryBudget",
     "ServiceClient",  # noqa: F822 - imported at its first use
     "UpstreamSettings",  # noqa: F822 - imported at its first use
@@ -16,7 +16,7 @@
     __name__,
     {
         "EngineClient": "engine",
-        "OrderAgent": "orders",
+        "AdapterReconciler": "adapter_reconciler",
         "ServiceClient": "service",
         "UpstreamSettings": "engine",
     },
--- a/packages/buckthornwall/src/buckthornwall/upstreams/adapter_reconciler.py
+++ b/packages/buckthornwall/src/buckthornwall/upstreams/adapter_reconciler.py
@@ -26,13 +26,13 @@
 
 from .engine import UpstreamSettings
 
-__all__ = ["OrderAgent"]
+__all__ = ["AdapterReconciler"]
 
-PERIOD_S = 1.0
-CONFLICT = 409
+RECONCILE_INTERVAL_S = 1.0
+HTTP_CONFLICT = 409
 
 
-class OrderAgent:
+class AdapterReconciler:
     """Brings engines to their records.
 
     Parameters
@@ -69,14 +69,14 @@
     async def run(self) -> None:
         """Compare and mend, again and again."""
         while True:
-            await trio.sleep(PERIOD_S)
+            await trio.sleep(RECONCILE_INTERVAL_S)
             if self.store.view is None or not self.is_caught_up():
                 continue
             async with trio.open_nursery() as nursery:
-                for engine in self._ours():
+                for engine in self._assigned_engines():
                     nursery.start_soon(self._reconcile, engine)
 
-    def _ours(self) -> list[Upstream]:
+    def _assigned_engines(self) -> list[Upstream]:
         return [
             engine
             for engine in self.store.view.upstreams.values()
@@ -88,23 +88,23 @@
     async def _reconcile(self, engine: Upstream) -> None:
         number = self.store.number
         try:
-            held = await self._read(engine)
+            loaded = await self._read_adapters(engine)
             for name, version in engine.order.adapters.items():
-                if held.get(name) != version:
-                    await self._order(engine, name, version, number)
+                if loaded.get(name) != version:
+                    await self._load_adapter(engine, name, version, number)
         except UpstreamError as error:
             fenced = error.code is ResultCode.ORDER_FENCED
             self.fenced += fenced
             log_event("order_failed", "WARNING", engine=engine.id, detail=error)
 
-    def _check_fresh(self, number: int) -> None:
+    def _check_not_fenced(self, number: int) -> None:
         """Refuse to order when we slept or newer records are in force."""
         if self.freeze.check() or not self.is_caught_up():
             raise UpstreamError(ResultCode.ORDER_FENCED, "woke late", sent=False)
         if self.store.number != number:
             raise UpstreamError(ResultCode.ORDER_FENCED, "newer records", sent=False)
 
-    async def _read(self, engine: Upstream) -> dict[str, str]:
+    async def _read_adapters(self, engine: Upstream) -> dict[str, str]:
         content = await self._request(engine, "GET", "/v1/models", None, 0)
         try:
             models = msgspec.json.decode(content)["data"]
@@ -112,7 +112,7 @@
         except (msgspec.DecodeError, KeyError, TypeError, AttributeError) as error:
             raise UpstreamError(ResultCode.UPSTREAM_GARBAGE, repr(error)) from error
 
-    async def _order(
+    async def _load_adapter(
         self, engine: Upstream, name: str, version: str, number: int
     ) -> None:
         body = {"lora_name": name, "lora_path": version}
@@ -125,9 +125,9 @@
     ) -> bytes:
         async def trace(event: str, _info: dict) -> None:
             if number and event.endswith("send_request_headers.started"):
-                self._check_fresh(number)
+                self._check_not_fenced(number)
 
-        limit_s = self.settings.connect_s
+        timeout_s = self.settings.connect_s
         headers = [("content-type", "application/json")]
         if number:
             headers.append(("x-fencing-number", str(number)))
@@ -138,13 +138,17 @@
                 headers=headers,
                 content=msgspec.json.encode(body) if body else b"",
                 extensions={
-                    "timeout": {"connect": limit_s, "read": limit_s, "write": limit_s},
+                    "timeout": {
+                        "connect": timeout_s,
+                        "read": timeout_s,
+                        "write": timeout_s,
+                    },
                     "trace": trace,
                 },
             )
         except TRANSPORT_ERRORS as error:
             raise UpstreamError(ResultCode.UPSTREAM_BROKEN, repr(error)) from error
-        if response.status == CONFLICT:
+        if response.status == HTTP_CONFLICT:
             raise UpstreamError(ResultCode.ORDER_FENCED, engine.id)
         if response.status != 200:
             detail = f"{engine.id} status {response.status}"
--- a/packages/buckthornwall/src/buckthornwall/upstreams/budget.py
+++ b/packages/buckthornwall/src/buckthornwall/upstreams/budget.py
@@ -8,7 +8,7 @@
 
 __all__ = ["RetryBudget"]
 
-ROUNDING = 1e-9  # ten tenths added up are a little less than one
+ROUNDING_TOLERANCE = 1e-9  # ten tenths added up are a little less than one
 
 
 class RetryBudget:
@@ -33,7 +33,7 @@
 
     def spend(self) -> bool:
         """Take one retry; False if there is none left."""
-        if self.balance < 1 - ROUNDING:
+        if self.balance < 1 - ROUNDING_TOLERANCE:
             return False
         self.balance -= 1
         return True
--- a/packages/buckthornwall/src/buckthornwall/upstreams/service.py
+++ b/packages/buckthornwall/src/buckthornwall/upstreams/service.py
@@ -10,7 +10,7 @@
 
 __all__ = ["ServiceClient", "ServiceResponse"]
 
-HOP_BY_HOP = {
+DROPPED_HEADERS = {
     b"connection",
     b"keep-alive",
     b"proxy-authenticate",
@@ -92,9 +92,9 @@
                 else ResultCode.UPSTREAM_UNREACHABLE
             )
             raise UpstreamError(code, repr(error), sent=sending) from error
-        kept = [
+        forwarded = [
             (name.decode("latin-1").lower(), value.decode("latin-1"))
             for name, value in response.headers
-            if name.lower() not in HOP_BY_HOP
+            if name.lower() not in DROPPED_HEADERS
         ]
-        return response.status, kept, response.content
+        return response.status, forwarded, response.content
