--- a/packages/buckthornwall/src/buckthornwall/gateway/app.py
+++ b/packages/buckthornwall/src/buckthornwall/gateway/app.py
@@ -84,7 +84,7 @@
     async def __call__(self, scope: dict, receive, send) -> None:
         """Serve one ASGI connection scope."""
         if scope["type"] == "lifespan":
-            await _lifespan(receive, send)
+            await serve_lifespan(receive, send)
             return
         if scope["type"] != "http":
             return
@@ -116,7 +116,7 @@
     async def _refuse(self, exchange: Exchange, refusal: Refusal) -> None:
         self.metrics.refusals.inc({"code": str(refusal.code.number)})
         needs_key = refusal.code in (ResultCode.KEY_REQUIRED, ResultCode.KEY_FOREIGN)
-        key = self.services.fresh_key() if needs_key else None
+        key = self.services.create_key() if needs_key else None
         await exchange.refuse(refusal, key)
 
     async def _dispatch(self, exchange: Exchange) -> None:
@@ -147,7 +147,7 @@
             await self.idle.wait()
 
 
-async def _lifespan(receive, send) -> None:
+async def serve_lifespan(receive, send) -> None:
     while True:
         event = await receive()
         if event["type"] == "lifespan.startup":
--- a/packages/buckthornwall/src/buckthornwall/gateway/answer.py
+++ b/packages/buckthornwall/src/buckthornwall/gateway/completion_response.py
@@ -6,19 +6,24 @@
 
 from .http import EVENT_STREAM, Exchange
 
-__all__ = ["Answer", "CollectedAnswer", "StreamedAnswer", "has_finish_reason"]
+__all__ = [
+    "CompletionResponse",
+    "BufferedResponse",
+    "StreamedResponse",
+    "has_finish_reason",
+]
 
 DONE_EVENT = b"data: [DONE]\n\n"
 
 
 def text_of(chunk: dict[str, Any]) -> str:
     """Return the text that a chunk adds to the first choice."""
-    parts = []
+    text_parts = []
     for choice in chunk.get("choices") or []:
         content = (choice.get("delta") or {}).get("content") or choice.get("text")
         if content:
-            parts.append(content)
-    return "".join(parts)
+            text_parts.append(content)
+    return "".join(text_parts)
 
 
 def has_finish_reason(chunks: list[dict[str, Any]]) -> bool:
@@ -30,7 +35,7 @@
     )
 
 
-class Answer:
+class CompletionResponse:
     """What has been delivered so far; subclasses write it to the caller.
 
     Parameters
@@ -44,35 +49,35 @@
     def __init__(self, exchange: Exchange, chat: bool) -> None:
         self.exchange = exchange
         self.chat = chat
-        self.parts: list[str] = []
+        self.text_parts: list[str] = []
         self.tokens = 0
         self.finished = False
-        self.ident: str | None = None
+        self.response_id: str | None = None
 
     @property
     def text(self) -> str:
         """All text delivered so far."""
-        return "".join(self.parts)
+        return "".join(self.text_parts)
 
-    def count(self, chunks: list[dict[str, Any]]) -> int:
+    def record_chunks(self, chunks: list[dict[str, Any]]) -> int:
         """Keep the chunks' text; return how many tokens they hold."""
-        fresh = 0
+        new_tokens = 0
         for chunk in chunks:
             text = text_of(chunk)
             if text:
-                self.parts.append(text)
-                fresh += 1
-        self.tokens += fresh
-        return fresh
+                self.text_parts.append(text)
+                new_tokens += 1
+        self.tokens += new_tokens
+        return new_tokens
 
-    def own(self, chunk: dict[str, Any]) -> dict[str, Any]:
+    def with_response_id(self, chunk: dict[str, Any]) -> dict[str, Any]:
         """Give a chunk the id of the answer, whichever attempt it is from."""
-        if self.ident is None:
-            self.ident = chunk.get("id")
-        chunk["id"] = self.ident
+        if self.response_id is None:
+            self.response_id = chunk.get("id")
+        chunk["id"] = self.response_id
         return chunk
 
-    async def add(self, chunks: list[dict[str, Any]]) -> None:
+    async def write_chunks(self, chunks: list[dict[str, Any]]) -> None:
         """Take chunks that came together."""
         raise NotImplementedError
 
@@ -81,40 +86,43 @@
         raise NotImplementedError
 
 
-class StreamedAnswer(Answer):
+class StreamedResponse(CompletionResponse):
     """Server-sent events, those that came together in one write."""
 
-    async def add(self, chunks: list[dict[str, Any]]) -> None:
+    async def write_chunks(self, chunks: list[dict[str, Any]]) -> None:
         """Send the chunks on."""
         if not self.exchange.started:
             headers = [("content-type", EVENT_STREAM), ("cache-control", "no-store")]
             await self.exchange.start(200, headers)
         encode = msgspec.json.encode
-        events = [b"data: " + encode(self.own(chunk)) + b"\n\n" for chunk in chunks]
+        events = [
+            b"data: " + encode(self.with_response_id(chunk)) + b"\n\n"
+            for chunk in chunks
+        ]
         await self.exchange.write(b"".join(events))
 
     async def finish(self) -> None:
         """Send the closing event."""
         if not self.exchange.started:
-            await self.add([])
+            await self.write_chunks([])
         self.finished = True
         await self.exchange.write(DONE_EVENT, more=False)
 
 
-class CollectedAnswer(Answer):
+class BufferedResponse(CompletionResponse):
     """One JSON object, sent when the answer is whole."""
 
     def __init__(self, exchange: Exchange, chat: bool) -> None:
         super().__init__(exchange, chat)
-        self.first: dict[str, Any] = {}
+        self.first_chunk: dict[str, Any] = {}
         self.finish_reasons: dict[int, str] = {}
         self.texts: dict[int, list[str]] = {}
         self.usage: dict[str, Any] | None = None
 
-    async def add(self, chunks: list[dict[str, Any]]) -> None:
+    async def write_chunks(self, chunks: list[dict[str, Any]]) -> None:
         """Gather the chunks by choice."""
         for chunk in chunks:
-            self.first = self.first or self.own(chunk)
+            self.first_chunk = self.first_chunk or self.with_response_id(chunk)
             self.usage = chunk.get("usage") or self.usage
             for choice in chunk.get("choices") or []:
                 index = choice.get("index", 0)
@@ -134,10 +142,10 @@
     async def finish(self) -> None:
         """Send the object."""
         body = {
-            "id": self.ident,
+            "id": self.response_id,
             "object": "chat.completion" if self.chat else "text_completion",
-            "created": self.first.get("created", 0),
-            "model": self.first.get("model", ""),
+            "created": self.first_chunk.get("created", 0),
+            "model": self.first_chunk.get("model", ""),
             "choices": [self._choice(index) for index in sorted(self.texts)],
         }
         if self.usage:
--- a/packages/buckthornwall/src/buckthornwall/gateway/completions.py
+++ b/packages/buckthornwall/src/buckthornwall/gateway/completions.py
@@ -16,15 +16,15 @@
 from buckthornwall.upstreams import EngineClient, RetryBudget
 from buckthornwall.utils import AttemptId, Clock, ModelId, UpstreamId, new_id
 
-from .answer import CollectedAnswer, StreamedAnswer, has_finish_reason
+from .completion_response import BufferedResponse, StreamedResponse, has_finish_reason
 from .http import ClientDisconnected, Exchange
 from .job import CHAT_PATH, CompletionJob, check_body, hash_prefix
-from .pace import Pace
+from .token_timings import TokenTimings
 
 __all__ = ["CompletionHandler"]
 
 CHARS_PER_TOKEN = 4
-MOST_ATTEMPTS = 4
+MAX_ATTEMPTS = 4
 CLASS_HEADER = "x-service-class"
 
 
@@ -47,7 +47,7 @@
         The ``[gateway]`` section.
     coalesce_s
         Seconds within which chunks are sent on together.
-    note_leaving
+    on_engine_leaving
         Told of an engine that refuses new work.
     """
 
@@ -63,7 +63,7 @@
         clock: Clock,
         limits: Any,
         coalesce_s: float,
-        note_leaving: Callable[[UpstreamId], None],
+        on_engine_leaving: Callable[[UpstreamId], None],
     ) -> None:
         self.admission = admission
         self.teams = teams
@@ -75,31 +75,31 @@
         self.clock = clock
         self.limits = limits
         self.coalesce_s = coalesce_s
-        self.note_leaving = note_leaving
+        self.on_engine_leaving = on_engine_leaving
 
     async def handle(self, exchange: Exchange) -> None:
         """Serve one request; cancel its work as soon as the caller is gone."""
-        started = self.clock.now()
+        started_at = self.clock.now()
         team = self.admission.authenticate(exchange.headers.get("authorization"))
-        raw = await exchange.read_body(
+        raw_body = await exchange.read_body(
             self.limits.body_limit_bytes, self.limits.body_timeout_s
         )
-        body = check_body(exchange.path, raw)
+        body = check_body(exchange.path, raw_body)
         requested_class = exchange.headers.get(CLASS_HEADER)
         admitted = self.admission.admit(
             team, TargetKind.MODEL, body["model"], requested_class
         )
-        answer_type = StreamedAnswer if body.get("stream") else CollectedAnswer
-        answer = answer_type(exchange, exchange.path == CHAT_PATH)
+        response_type = StreamedResponse if body.get("stream") else BufferedResponse
+        response = response_type(exchange, exchange.path == CHAT_PATH)
         job = CompletionJob(
             exchange.path,
             body,
             admitted,
-            answer,
-            started,
+            response,
+            started_at,
             exchange.headers.get("traceparent"),
             hash_prefix(body),
-            len(raw) // CHARS_PER_TOKEN,
+            len(raw_body) // CHARS_PER_TOKEN,
         )
         outcome = "cut"
         try:
@@ -113,7 +113,7 @@
             outcome = "gone"
             raise
         finally:
-            self._count(job, outcome)
+            self._record_outcome(job, outcome)
 
     async def _run_until_disconnect(
         self, exchange: Exchange, job: CompletionJob
@@ -134,16 +134,16 @@
                     "completion", job.traceparent, route=job.admitted.route.id
                 ) as outgoing:
                     job.traceparent = outgoing
-                    await self._run(job)
+                    await self._run_attempts(job)
             except Refusal as refusal:
                 failure = refusal
             nursery.cancel_scope.cancel()
         if failure is not None:
             raise failure
-        if disconnected and not job.answer.finished:
+        if disconnected and not job.response.finished:
             raise ClientDisconnected
 
-    async def _run(self, job: CompletionJob) -> None:
+    async def _run_attempts(self, job: CompletionJob) -> None:
         """Make attempts until the answer is whole or there is no use in more.
 
         An attempt that is preempted is no failure: it neither counts nor
@@ -152,35 +152,35 @@
         self.budget.earn()
         excluded: list[UpstreamId] = []
         while True:
-            slot = await self._acquire(job, excluded)
+            slot = await self._acquire_slot(job, excluded)
             try:
                 await self._attempt(job, slot)
             except UpstreamError as error:
                 excluded.append(slot.engine)
-                job.may_have_run = job.may_have_run or error.sent
+                job.may_have_executed = job.may_have_executed or error.sent
                 if not self._may_retry(job, error, len(excluded)):
                     raise self._refusal_for(job, error) from error
                 self.metrics.retries.inc({"code": str(error.code.number)})
                 continue
-            if job.answer.finished:
+            if job.response.finished:
                 return
             job.preempted = True
-            job.may_have_run = True
+            job.may_have_executed = True
 
     def _may_retry(
         self, job: CompletionJob, error: UpstreamError, failures: int
     ) -> bool:
-        if error.code is ResultCode.UPSTREAM_REJECTED or failures >= MOST_ATTEMPTS:
+        if error.code is ResultCode.UPSTREAM_REJECTED or failures >= MAX_ATTEMPTS:
             return False
-        if job.answer.tokens and not job.resumable:
+        if job.response.tokens and not job.resumable:
             return False
         return self.budget.spend()
 
     @staticmethod
     def _refusal_for(job: CompletionJob, error: UpstreamError) -> Refusal:
-        return Refusal(error.code, error.detail, job.run, retry_after_s=1.0)
+        return Refusal(error.code, error.detail, job.executed, retry_after_s=1.0)
 
-    async def _acquire(
+    async def _acquire_slot(
         self, job: CompletionJob, excluded: list[UpstreamId]
     ) -> HeldSlot:
         service_class = job.admitted.service_class
@@ -190,26 +190,26 @@
             job.admitted.team.id,
             job.prompt_tokens,
             job.prefix_hash,
-            job.started,
+            job.started_at,
             list(excluded),
             resumed=bool(excluded) or job.preempted,
             preemptible=job.resumable,
         )
-        asked = self.clock.now()
+        requested_at = self.clock.now()
         with self.tracing.span("slot", job.traceparent, pool=request.pool):
             try:
                 slot = await self.entry.acquire(request)
             except Refusal as refusal:
-                refusal.run = job.run
+                refusal.run = job.executed
                 raise
-        waited_s = self.clock.now() - asked
+        waited_s = self.clock.now() - requested_at
         self.metrics.slot_wait.observe({"class": service_class.id}, waited_s)
         return slot
 
     async def _attempt(self, job: CompletionJob, slot: HeldSlot) -> None:
         """Stream one attempt, and give its slot back however it ends."""
         kind = ReleaseKind.CANCELLED
-        pace = Pace(self.clock)
+        timings = TokenTimings(self.clock)
         try:
             engine = self.admission.view.upstreams.get(slot.engine)
             if engine is None:
@@ -217,19 +217,21 @@
             with self.tracing.span(
                 "upstream", job.traceparent, engine=engine.id
             ) as outgoing:
-                await self._relay(job, slot, engine, pace, outgoing)
-            kind = ReleaseKind.DONE if job.answer.finished else ReleaseKind.CANCELLED
+                await self._relay(job, slot, engine, timings, outgoing)
+            kind = ReleaseKind.DONE if job.response.finished else ReleaseKind.CANCELLED
         except UpstreamError as error:
-            kind = self._kind_of(error, slot)
+            kind = self._release_kind(error, slot)
             raise
         finally:
-            self.entry.release(slot, kind, pace.first_s, pace.mean_s(slot.tokens))
+            self.entry.release(
+                slot, kind, timings.first_token_s, timings.mean_gap_s(slot.tokens)
+            )
 
-    def _kind_of(self, error: UpstreamError, slot: HeldSlot) -> ReleaseKind:
+    def _release_kind(self, error: UpstreamError, slot: HeldSlot) -> ReleaseKind:
         if error.code is ResultCode.UPSTREAM_REJECTED:
             return ReleaseKind.DONE
         if "leaving" in error.detail:
-            self.note_leaving(slot.engine)
+            self.on_engine_leaving(slot.engine)
             return ReleaseKind.LEAVING
         return ReleaseKind.FAILED
 
@@ -238,7 +240,7 @@
         job: CompletionJob,
         slot: HeldSlot,
         engine: Upstream,
-        pace: Pace,
+        timings: TokenTimings,
         traceparent: str | None,
     ) -> None:
         attempt = AttemptId(f"{new_id():x}")
@@ -250,24 +252,24 @@
         stream = self.engines.stream(engine, job.path, body, attempt, traceparent)
         async with aclosing(stream):
             async for chunks in stream:
-                fresh = job.answer.count(chunks)
-                slot.tokens += fresh
-                if fresh:
-                    first = job.answer.tokens == fresh
-                    pace.note()
-                    if first:
+                new_tokens = job.response.record_chunks(chunks)
+                slot.tokens += new_tokens
+                if new_tokens:
+                    is_first = job.response.tokens == new_tokens
+                    timings.record_tokens()
+                    if is_first:
                         self._observe_first_token(job)
-                await job.answer.add(chunks)
+                await job.response.write_chunks(chunks)
                 if slot.preempted and not has_finish_reason(chunks):
                     return
-                if pace.is_quick(len(chunks), self.coalesce_s):
+                if timings.should_coalesce(len(chunks), self.coalesce_s):
                     await trio.sleep(self.coalesce_s)
-        await job.answer.finish()
+        await job.response.finish()
 
     def _observe_first_token(self, job: CompletionJob) -> None:
         class_id = job.admitted.service_class.id
         self.metrics.first_token.observe(
-            {"class": class_id}, self.clock.now() - job.started
+            {"class": class_id}, self.clock.now() - job.started_at
         )
 
     def _engine_body(self, job: CompletionJob) -> dict[str, Any]:
@@ -277,7 +279,7 @@
         body["stream_options"] = {"include_usage": True}
         body["priority"] = job.admitted.service_class.tier
         body["model"] = job.admitted.route.target
-        delivered = job.answer.text
+        delivered = job.response.text
         if not delivered:
             return body
         if job.path == CHAT_PATH:
@@ -288,13 +290,13 @@
         else:
             body["prompt"] = job.body["prompt"] + delivered
         if job.body.get("max_tokens"):
-            body["max_tokens"] = max(1, job.body["max_tokens"] - job.answer.tokens)
+            body["max_tokens"] = max(1, job.body["max_tokens"] - job.response.tokens)
         return body
 
-    def _count(self, job: CompletionJob, outcome: str) -> None:
+    def _record_outcome(self, job: CompletionJob, outcome: str) -> None:
         class_id = job.admitted.service_class.id
         self.metrics.requests.inc({"class": class_id, "outcome": outcome})
-        if job.answer.tokens:
-            self.metrics.tokens.add({"class": class_id}, job.answer.tokens)
+        if job.response.tokens:
+            self.metrics.tokens.add({"class": class_id}, job.response.tokens)
             if outcome != "served":
-                self.metrics.wasted_tokens.add({"class": class_id}, job.answer.tokens)
+                self.metrics.wasted_tokens.add({"class": class_id}, job.response.tokens)
--- a/packages/buckthornwall/src/buckthornwall/gateway/http.py
+++ b/packages/buckthornwall/src/buckthornwall/gateway/http.py
@@ -9,7 +9,7 @@
 from buckthornwall.codes import Refusal, ResultCode
 from buckthornwall.telemetry import log_event
 
-__all__ = ["ClientDisconnected", "Exchange", "error_object"]
+__all__ = ["ClientDisconnected", "Exchange", "error_body"]
 
 JSON = "application/json"
 EVENT_STREAM = "text/event-stream"
@@ -19,7 +19,7 @@
     """The caller has closed the connection."""
 
 
-def error_object(refusal: Refusal) -> dict[str, Any]:
+def error_body(refusal: Refusal) -> dict[str, Any]:
     """Return the body that tells a caller of a refusal."""
     error: dict[str, Any] = {
         "message": str(refusal),
@@ -90,11 +90,13 @@
     async def start(self, status: int, headers: list[tuple[str, str]]) -> None:
         """Send the status and the headers."""
         self.started = True
-        raw = [(name.encode(), value.encode("latin-1")) for name, value in headers]
+        raw_headers = [
+            (name.encode(), value.encode("latin-1")) for name, value in headers
+        ]
         if self.close_after:
-            raw.append((b"connection", b"close"))
+            raw_headers.append((b"connection", b"close"))
         await self.send(
-            {"type": "http.response.start", "status": status, "headers": raw}
+            {"type": "http.response.start", "status": status, "headers": raw_headers}
         )
 
     async def write(self, body: bytes, more: bool = True) -> None:
@@ -110,8 +112,11 @@
         headers: list[tuple[str, str]] | None = None,
     ) -> None:
         """Send a whole answer."""
-        own = [("content-type", content_type), ("content-length", str(len(body)))]
-        await self.start(status, own + (headers or []))
+        default_headers = [
+            ("content-type", content_type),
+            ("content-length", str(len(body))),
+        ]
+        await self.start(status, default_headers + (headers or []))
         await self.write(body, more=False)
 
     async def respond_json(
@@ -140,7 +145,7 @@
         if self.ended:
             log_event("refusal_after_end", "WARNING", path=self.path, detail=refusal)
             return
-        body = error_object(refusal)
+        body = error_body(refusal)
         if self.started:
             event = b"data: " + msgspec.json.encode(body) + b"\n\n"
             await self.write(event, more=False)
--- a/packages/buckthornwall/src/buckthornwall/gateway/job.py
+++ b/packages/buckthornwall/src/buckthornwall/gateway/job.py
@@ -9,7 +9,7 @@
 from buckthornwall.admission import AdmittedRequest
 from buckthornwall.codes import Executed, Refusal, ResultCode
 
-from .answer import Answer
+from .completion_response import CompletionResponse
 
 __all__ = ["CHAT_PATH", "CompletionJob", "check_body", "hash_prefix"]
 
@@ -25,20 +25,20 @@
     path: str
     body: dict[str, Any]
     admitted: AdmittedRequest
-    answer: Answer
-    started: float
+    response: CompletionResponse
+    started_at: float
     traceparent: str | None
     prefix_hash: int
     prompt_tokens: int
     preempted: bool = False
-    may_have_run: bool = False
+    may_have_executed: bool = False
 
     @property
-    def run(self) -> Executed:
+    def executed(self) -> Executed:
         """Whether any attempt so far has run, as far as can be told."""
-        if self.answer.tokens:
+        if self.response.tokens:
             return Executed.YES
-        return Executed.UNKNOWN if self.may_have_run else Executed.NO
+        return Executed.UNKNOWN if self.may_have_executed else Executed.NO
 
     @property
     def resumable(self) -> bool:
@@ -58,38 +58,38 @@
     Raises
     ------
     Refusal
-        Naming the bad field.
+        Naming the malformed field.
     """
 
-    def bad(detail: str) -> Refusal:
+    def malformed(detail: str) -> Refusal:
         return Refusal(ResultCode.MALFORMED_BODY, detail)
 
     try:
         body = msgspec.json.decode(raw)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
-        raise bad(str(error)) from error
+        raise malformed(str(error)) from error
     if not isinstance(body, dict):
-        raise bad("expected an object")
+        raise malformed("expected an object")
     if not isinstance(body.get("model"), str):
-        raise bad("model: expected a name")
+        raise malformed("model: expected a name")
     if type(body.get("stream", False)) is not bool:
-        raise bad("stream: expected true or false")
+        raise malformed("stream: expected true or false")
     limit = body.get("max_tokens")
     if limit is not None and (type(limit) is not int or limit < 1):
-        raise bad("max_tokens: expected 1 or more")
+        raise malformed("max_tokens: expected 1 or more")
     if path == CHAT_PATH:
         messages = body.get("messages")
         if not isinstance(messages, list) or not messages:
-            raise bad("messages: expected a list that is not empty")
+            raise malformed("messages: expected a list that is not empty")
         if not all(isinstance(each, dict) for each in messages):
-            raise bad("messages: expected objects")
+            raise malformed("messages: expected objects")
     elif not isinstance(body.get("prompt"), str | list):
-        raise bad("prompt: expected a text or a list")
+        raise malformed("prompt: expected a text or a list")
     return body
 
 
 def hash_prefix(body: dict[str, Any]) -> int:
     """Return a hash of the prompt's beginning, for the engines' prefix caches."""
     prompt = body.get("messages", body.get("prompt"))
-    head = msgspec.json.encode(prompt)[:MAX_HASHED_BYTES]
-    return int.from_bytes(blake2b(head, digest_size=HASH_BYTES).digest())
+    encoded_head = msgspec.json.encode(prompt)[:MAX_HASHED_BYTES]
+    return int.from_bytes(blake2b(encoded_head, digest_size=HASH_BYTES).digest())
--- a/packages/buckthornwall/src/buckthornwall/gateway/operators.py
+++ b/packages/buckthornwall/src/buckthornwall/gateway/operators.py
@@ -6,7 +6,7 @@
 from buckthornwall.codes import Refusal, ResultCode
 from buckthornwall.utils import ConfigItem, ConfigNamespace
 
-from .app import _lifespan
+from .app import serve_lifespan
 from .http import Exchange
 
 __all__ = ["OperatorApp", "OperatorSettings"]
@@ -50,7 +50,7 @@
     async def __call__(self, scope: dict, receive, send) -> None:
         """Serve one ASGI connection scope."""
         if scope["type"] == "lifespan":
-            await _lifespan(receive, send)
+            await serve_lifespan(receive, send)
             return
         if scope["type"] != "http":
             return
--- a/packages/buckthornwall/src/buckthornwall/gateway/services.py
+++ b/packages/buckthornwall/src/buckthornwall/gateway/services.py
@@ -14,10 +14,10 @@
 
 __all__ = ["ServiceHandler"]
 
-PREFIX = "/services/"
+SERVICES_PREFIX = "/services/"
 KEY_HEADER = "idempotency-key"
 CLASS_HEADER = "x-service-class"
-DROPPED_HEADERS = {
+DROPPED_REQUEST_HEADERS = {
     "authorization",
     "connection",
     "content-length",
@@ -75,25 +75,25 @@
         self.limits = limits
         self.is_leaving = is_leaving
 
-    def fresh_key(self) -> str:
+    def create_key(self) -> str:
         """Return a new idempotency key."""
         return self.agent.issue()
 
     async def issue_key(self, exchange: Exchange) -> None:
         """Serve ``POST /idempotency-keys``."""
         self.admission.authenticate(exchange.headers.get("authorization"))
-        await exchange.respond_json({"idempotency_key": self.fresh_key()}, 201)
+        await exchange.respond_json({"idempotency_key": self.create_key()}, 201)
 
     async def handle(self, exchange: Exchange) -> None:
         """Serve a call to a plain service."""
         team = self.admission.authenticate(exchange.headers.get("authorization"))
-        name, _, rest = exchange.path[len(PREFIX) :].partition("/")
+        name, _, subpath = exchange.path[len(SERVICES_PREFIX) :].partition("/")
         requested_class = exchange.headers.get(CLASS_HEADER)
         admitted = self.admission.admit(team, TargetKind.SERVICE, name, requested_class)
         body = await exchange.read_body(
             self.limits.body_limit_bytes, self.limits.body_timeout_s
         )
-        request = self._request(exchange, admitted, rest, body)
+        request = self._request(exchange, admitted, subpath, body)
         traceparent = exchange.headers.get("traceparent")
         with (
             self.teams.hold(team),
@@ -109,15 +109,15 @@
         await exchange.write(outcome.body, more=False)
 
     def _request(
-        self, exchange: Exchange, admitted: AdmittedRequest, rest: str, body: bytes
+        self, exchange: Exchange, admitted: AdmittedRequest, subpath: str, body: bytes
     ) -> CallRequest:
-        path = "/" + quote(rest)
+        path = "/" + quote(subpath)
         if exchange.query:
             path += "?" + exchange.query.decode("latin-1")
         headers = [
             (key, value)
             for key, value in exchange.headers.items()
-            if key not in DROPPED_HEADERS and key != "traceparent"
+            if key not in DROPPED_REQUEST_HEADERS and key != "traceparent"
         ]
         return CallRequest(
             admitted.route.id,
@@ -143,22 +143,22 @@
         excluded: set[str] = set()
         while True:
             try:
-                return await self._call_some(request, excluded)
+                return await self._call_next(request, excluded)
             except UpstreamError as error:
-                run = Executed.UNKNOWN if error.sent else Executed.NO
+                executed = Executed.UNKNOWN if error.sent else Executed.NO
                 if len(excluded) > 1 or not self.budget.spend():
-                    raise Refusal(error.code, error.detail, run, 1.0) from error
+                    raise Refusal(error.code, error.detail, executed, 1.0) from error
 
-    async def _call_some(
+    async def _call_next(
         self, request: CallRequest, excluded: set[str]
     ) -> StoredOutcome:
         candidates = self.candidates(request.route)
-        fresh = [each for each in candidates if each.id not in excluded] or candidates
-        if not fresh:
+        targets = [each for each in candidates if each.id not in excluded] or candidates
+        if not targets:
             raise Refusal(ResultCode.UPSTREAM_UNREACHABLE, retry_after_s=1.0)
-        excluded.add(fresh[0].id)
+        excluded.add(targets[0].id)
         status, headers, body = await self.client.call(
-            fresh[0],
+            targets[0],
             request.method,
             request.path,
             request.headers,
--- a/packages/buckthornwall/src/buckthornwall/gateway/tests/test_completions.py
+++ b/packages/buckthornwall/src/buckthornwall/gateway/tests/test_completions.py
@@ -7,7 +7,7 @@
 
 from buckthornwall.admission import Admission, AdmittedRequest
 from buckthornwall.codes import Executed, Refusal, ResultCode, UpstreamError
-from buckthornwall.gateway.answer import Answer
+from buckthornwall.gateway.completion_response import CompletionResponse
 from buckthornwall.gateway.completions import CompletionHandler
 from buckthornwall.gateway.job import CHAT_PATH, CompletionJob, check_body
 from buckthornwall.scheduling.entry import HeldSlot
@@ -26,7 +26,9 @@
         view.teams["one"], view.routes["m"], view.classes["urgent"]
     )
     body = {"model": "m", "messages": [{"role": "user", "content": "x"}]}
-    return CompletionJob(CHAT_PATH, body, admitted, Answer(None, True), 0.0, None, 0, 1)
+    return CompletionJob(
+        CHAT_PATH, body, admitted, CompletionResponse(None, True), 0.0, None, 0, 1
+    )
 
 
 @pytest.fixture
@@ -49,24 +51,24 @@
         )
         left = list(failures)
 
-        async def acquire(job, excluded):
+        async def acquire_slot(job, excluded):
             return HeldSlot(1, "e1", None, "a", False, 0.0)
 
         async def attempt(job, slot):
             if left:
                 raise left.pop(0)
-            job.answer.finished = True
+            job.response.finished = True
 
-        handler._acquire = acquire
+        handler._acquire_slot = acquire_slot
         handler._attempt = attempt
-        await handler._run(job)
+        await handler._run_attempts(job)
         return job
 
     return run
 
 
 async def test_a_failed_attempt_is_made_again(run):
-    assert (await run(SENT, UNSENT)).answer.finished
+    assert (await run(SENT, UNSENT)).response.finished
 
 
 @pytest.mark.parametrize(
@@ -91,7 +93,7 @@
 
 async def test_an_answer_that_cannot_be_resumed_is_not_started_over(run, job):
     job.body["n"] = 2
-    job.answer.tokens = 3
+    job.response.tokens = 3
     with pytest.raises(Refusal) as caught:
         await run(SENT)
     assert caught.value.run is Executed.YES
@@ -99,10 +101,10 @@
 
 def test_a_resumed_attempt_goes_on_from_what_was_delivered(job, store):
     handler = CompletionHandler(
-        Admission(store), *[None] * 8, coalesce_s=0.0, note_leaving=None
+        Admission(store), *[None] * 8, coalesce_s=0.0, on_engine_leaving=None
     )
     job.body["max_tokens"] = 10
-    job.answer.count([{"choices": [{"delta": {"content": "so far "}}]}])
+    job.response.record_chunks([{"choices": [{"delta": {"content": "so far "}}]}])
     body = handler._engine_body(job)
     assert body["messages"][-1] == {"role": "assistant", "content": "so far "}
     assert body["continue_final_message"] is True
