--- a/packages/buckthornwall/src/buckthornwall/http1/server.py
+++ b/packages/buckthornwall/src/buckthornwall/http1/server.py
@@ -22,7 +22,7 @@
 BACKLOG = 1024
 RECEIVE_BYTES = 65_536
 HEAD_END = b"\r\n\r\n"
-# Bytes that a client may send ahead of its response; beyond them nothing more is read.
+# Bytes that a client may send ahead of its response; no more are read before it ends.
 MAX_PIPELINED_BYTES = 65_536
 # After a refusal the rest of the body is still read for this long: closing with
 # unread bytes resets the connection, and the client would lose the refusal.
--- a/packages/buckthornwall/src/buckthornwall/utils/tests/test_suspension.py
+++ b/packages/buckthornwall/src/buckthornwall/utils/tests/test_suspension.py
@@ -30,7 +30,7 @@
 
 
 def test_deadlines_pass_while_the_machine_is_suspended(machine, clock):
-    """Otherwise a request from before the suspension keeps its whole time-out."""
+    """Otherwise a request from before is forwarded with its full client timeout."""
 
     async def wait():
         with trio.move_on_after(60.0) as scope:
