--- a/packages/buckthornwall-ctl/src/buckthornwall_ctl/checks.py
+++ b/packages/buckthornwall-ctl/src/buckthornwall_ctl/checks.py
@@ -11,7 +11,7 @@
 
 __all__ = ["check_records", "check_settings", "describe_change"]
 
-KINDS = ("class", "team", "model", "route", "upstream")
+RECORD_KINDS = ("class", "team", "model", "route", "upstream")
 
 
 def check_settings(path: Path) -> list[str]:
@@ -62,7 +62,7 @@
 def describe_change(old: RecordView, new: RecordView) -> list[str]:
     """Return a line for each record that appears, changes or goes."""
     lines = []
-    for kind in KINDS:
+    for kind in RECORD_KINDS:
         before, after = old.table(kind), new.table(kind)
         lines += [f"+ {kind} {ident}" for ident in sorted(set(after) - set(before))]
         lines += [f"- {kind} {ident}" for ident in sorted(set(before) - set(after))]
--- /dev/null
+++ b/packages/buckthornwall-ctl/src/buckthornwall_ctl/config_lag.py
@@ -0,0 +1,108 @@
+"""How long instances were behind the newest configuration, from their logs.
+
+An instance is behind from the moment at which any other adopted a newer version until
+it adopts one itself. One that stops is left out until it has started again.
+"""
+
+from dataclasses import dataclass
+from datetime import datetime, timedelta
+from pathlib import Path
+
+from .log_lines import LogLine, read_logs
+
+__all__ = ["ConfigLag", "format_config_lags", "find_config_lags"]
+
+MS_PER_S = 1000.0
+
+
+@dataclass(frozen=True)
+class ConfigLag:
+    """One instance kept `number` for so long after a newer version was there."""
+
+    duration: timedelta
+    node: str
+    number: int
+    since: datetime
+    adopted: int | None
+
+
+def find_config_lags(lines: list[LogLine]) -> list[ConfigLag]:
+    """Return the longest time behind of each instance, the longest first."""
+    lines = sorted(lines, key=lambda line: line.at)
+    first_adopted_at = _first_adoptions(lines)
+    longest: dict[str, ConfigLag] = {}
+    adopted_numbers: dict[str, int | None] = {}
+    for line in lines:
+        if line.event in ("starting", "stopping"):
+            _keep_longest(
+                longest,
+                _lag_until(
+                    line, adopted_numbers.get(line.node), None, first_adopted_at
+                ),
+            )
+            adopted_numbers[line.node] = None
+        elif line.event == "config_adopted":
+            number = int(line.fields["number"])
+            _keep_longest(
+                longest,
+                _lag_until(
+                    line, adopted_numbers.get(line.node), number, first_adopted_at
+                ),
+            )
+            adopted_numbers[line.node] = number
+    for node, number in adopted_numbers.items():
+        last = LogLine(lines[-1].at, {"event": "", "node": node})
+        _keep_longest(longest, _lag_until(last, number, None, first_adopted_at))
+    return sorted(longest.values(), key=lambda each: each.duration, reverse=True)
+
+
+def _first_adoptions(lines: list[LogLine]) -> list[tuple[int, datetime]]:
+    """Return when each version was first in force anywhere, by number."""
+    first: dict[int, datetime] = {}
+    for line in lines:
+        if line.event == "config_adopted":
+            first.setdefault(int(line.fields["number"]), line.at)
+    return sorted(first.items())
+
+
+def _lag_until(
+    line: LogLine,
+    current: int | None,
+    adopted: int | None,
+    first_adopted_at: list[tuple[int, datetime]],
+) -> ConfigLag | None:
+    """Return for how long `current` was old until a line; None if it was not."""
+    if current is None:
+        return None
+    newer = [at for number, at in first_adopted_at if number > current and at < line.at]
+    if not newer:
+        return None
+    since = min(newer)
+    return ConfigLag(line.at - since, line.node, current, since, adopted)
+
+
+def _keep_longest(longest: dict[str, ConfigLag], lag: ConfigLag | None) -> None:
+    if lag is None:
+        return
+    previous = longest.get(lag.node)
+    if previous is None or lag.duration > previous.duration:
+        longest[lag.node] = lag
+
+
+def format_config_lags(paths: list[Path]) -> list[str]:
+    """Return a line an instance, the one that was behind for longest first.
+
+    Raises
+    ------
+    SettingsError
+        SETTINGS_UNREADABLE if a file cannot be read.
+    """
+    lags = find_config_lags(list(read_logs(paths)))
+    if not lags:
+        return ["no instance was behind another"]
+    return [
+        f"{each.duration.total_seconds() * MS_PER_S:8.0f} ms  {each.node}  "
+        f"kept={each.number} adopted={each.adopted or 'none'} "
+        f"since={each.since.isoformat()}"
+        for each in lags
+    ]
--- a/packages/buckthornwall-ctl/src/buckthornwall_ctl/views.py
+++ b/packages/buckthornwall-ctl/src/buckthornwall_ctl/fleet_status.py
@@ -5,35 +5,35 @@
 from buckthornwall.codes import PeerError
 
 from .client import read_json
-from .router_views import is_router, router_lines
+from .router_status import format_router_status, is_router
 
-__all__ = ["fleet_lines"]
+__all__ = ["format_fleet_status"]
 
 HEADER = (
     f"{'instance':<16}{'state':<9}{'records':>8}  {'in flight':>9}  pools scheduled"
 )
 
 
-def _pools(status: dict[str, Any]) -> str:
-    pooled = [each for each in status["pools"] if not each["alone"]]
+def _format_pools(status: dict[str, Any]) -> str:
+    scheduled = [each for each in status["pools"] if not each["alone"]]
     return (
         ", ".join(
             f"{each['pool']} ({sum(each['waiting'].values())} waiting)"
-            for each in pooled
+            for each in scheduled
         )
         or "-"
     )
 
 
-def _line(status: dict[str, Any]) -> str:
+def _format_instance(status: dict[str, Any]) -> str:
     records = status["records"]
     return (
         f"{status['node']:<16}{status['state']:<9}{records['number']:>8}"
-        f"  {status['in_flight']:>9}  {_pools(status)}"
+        f"  {status['in_flight']:>9}  {_format_pools(status)}"
     )
 
 
-def fleet_lines(addresses: list[str]) -> tuple[list[str], int]:
+def format_fleet_status(addresses: list[str]) -> tuple[list[str], int]:
     """Read every instance; return a table and how many could not be read."""
     lines = [HEADER]
     failed = 0
@@ -47,10 +47,10 @@
             continue
         if is_router(status):
             numbers.add((status["number"], ""))
-            lines += router_lines(status)
+            lines += format_router_status(status)
             continue
         numbers.add((status["records"]["number"], status["records"]["digest"]))
-        lines.append(_line(status))
+        lines.append(_format_instance(status))
         lines += [
             f"  refused alone: {code} {detail}"
             for code, detail in status["records"]["refused"]
--- a/packages/buckthornwall-ctl/src/buckthornwall_ctl/load_plot.py
+++ b/packages/buckthornwall-ctl/src/buckthornwall_ctl/load_plot.py
@@ -24,22 +24,22 @@
     path
         The picture to write; its ending tells the form.
     """
-    times = sorted(load.seconds)
-    seconds = [load.seconds[time] for time in times]
-    figure, (waits, requests, word) = plt.subplots(3, sharex=True, figsize=(9, 7))
-    for name in ("expected_ms", "seen_ms"):
+    indexes = sorted(load.seconds)
+    seconds = [load.seconds[index] for index in indexes]
+    figure, (waits, requests, staleness) = plt.subplots(3, sharex=True, figsize=(9, 7))
+    for name in ("expected_ms", "observed_ms"):
         values = [getattr(second, name) for second in seconds]
-        middle = [median(each) if each else float("nan") for each in values]
-        waits.plot(times, middle, label=name.removesuffix("_ms"))
+        medians = [median(each) if each else float("nan") for each in values]
+        waits.plot(indexes, medians, label=name.removesuffix("_ms"))
     waits.set_ylabel("first token, ms (p50)")
     waits.legend()
-    requests.plot(times, [second.placed for second in seconds], label="placed")
-    requests.plot(times, [second.refused for second in seconds], label="refused")
+    requests.plot(indexes, [second.placed for second in seconds], label="placed")
+    requests.plot(indexes, [second.refused for second in seconds], label="refused")
     requests.set_ylabel("requests a second")
     requests.legend()
-    word.bar(times, [len(second.overdue) for second in seconds])
-    word.set_ylabel("instances overdue")
-    word.set_xlabel("seconds")
+    staleness.bar(indexes, [len(second.overdue_instances) for second in seconds])
+    staleness.set_ylabel("instances overdue")
+    staleness.set_xlabel("seconds")
     figure.tight_layout()
     figure.savefig(path)
     plt.close(figure)
--- a/packages/buckthornwall-ctl/src/buckthornwall_ctl/log_lines.py
+++ b/packages/buckthornwall-ctl/src/buckthornwall_ctl/log_lines.py
@@ -1,4 +1,4 @@
-"""Lines of instances' logs, as their pairs."""
+"""Lines of instances' logs, as their fields."""
 
 import re
 from collections.abc import Iterable
@@ -10,8 +10,8 @@
 
 __all__ = ["LogLine", "read_logs"]
 
-PAIR = re.compile(r'(\w+)=("[^"]*"|\S*)')
-TOLD_FIRST = ("time", "level", "node", "event", "request")
+FIELD = re.compile(r'(\w+)=("[^"]*"|\S*)')
+PREFIX_KEYS = ("time", "level", "node", "event", "request")
 
 
 @dataclass(frozen=True)
@@ -19,27 +19,27 @@
     """One event of an instance."""
 
     at: datetime
-    pairs: dict[str, str]
+    fields: dict[str, str]
 
     @property
     def event(self) -> str:
         """What happened."""
-        return self.pairs["event"]
+        return self.fields["event"]
 
     @property
     def node(self) -> str:
         """Where it happened."""
-        return self.pairs.get("node", "?")
+        return self.fields.get("node", "?")
 
-    def told(self, start: datetime) -> str:
+    def format(self, start: datetime) -> str:
         """Return the line as a part of a story that began at `start`."""
         offset_ms = (self.at - start).total_seconds() * 1000
-        rest = " ".join(
+        other_fields = " ".join(
             f"{key}={value}"
-            for key, value in self.pairs.items()
-            if key not in TOLD_FIRST and value not in ("", '""')
+            for key, value in self.fields.items()
+            if key not in PREFIX_KEYS and value not in ("", '""')
         )
-        return f"{offset_ms:+9.0f} ms  {self.node}  {self.event}  {rest}"
+        return f"{offset_ms:+9.0f} ms  {self.node}  {self.event}  {other_fields}"
 
 
 def read_logs(paths: Iterable[Path]) -> Iterable[LogLine]:
@@ -56,6 +56,6 @@
         except OSError as error:
             raise SettingsError(ResultCode.SETTINGS_UNREADABLE, str(error)) from error
         for line in text.splitlines():
-            pairs = dict(PAIR.findall(line))
-            if "event" in pairs and "time" in pairs:
-                yield LogLine(datetime.fromisoformat(pairs["time"]), pairs)
+            fields = dict(FIELD.findall(line))
+            if "event" in fields and "time" in fields:
+                yield LogLine(datetime.fromisoformat(fields["time"]), fields)
--- a/packages/buckthornwall-ctl/src/buckthornwall_ctl/main.py
+++ b/packages/buckthornwall-ctl/src/buckthornwall_ctl/main.py
@@ -8,12 +8,12 @@
 from buckthornwall import __version__
 from buckthornwall.codes import BuckthornwallError, ResultCode
 
-from .behind import behind_lines
 from .checks import check_records, check_settings
-from .load import fleet_load, load_lines
-from .stories import request_story
-from .urgency import urgency_lines
-from .views import fleet_lines
+from .config_lag import format_config_lags
+from .fleet_status import format_fleet_status
+from .load import format_load, load_from_logs
+from .priority_inversion import format_inversions
+from .request_timeline import request_timeline
 
 __all__ = ["main"]
 
@@ -55,7 +55,9 @@
     watch = commands.add_parser("watch", help="show the instances again and again")
     watch.add_argument("address", nargs="+", metavar="IP:PORT")
     watch.add_argument("--every", type=float, default=2.0, metavar="SECONDS")
-    watch.add_argument("--times", type=int, default=0, help="stop after so many looks")
+    watch.add_argument(
+        "--times", type=int, default=0, help="stop after so many refreshes"
+    )
     watch.set_defaults(run=_watch)
 
     explain = commands.add_parser(
@@ -102,18 +104,18 @@
 
 
 def _status(options: argparse.Namespace) -> int:
-    lines, failed = fleet_lines(options.address)
+    lines, failed = format_fleet_status(options.address)
     print("\n".join(lines))
     return EXIT_UNREACHABLE if failed else EXIT_OK
 
 
 def _watch(options: argparse.Namespace) -> int:
-    looks = 0
+    refreshes = 0
     while True:
-        lines, failed = fleet_lines(options.address)
+        lines, failed = format_fleet_status(options.address)
         print("\n".join(lines), flush=True)
-        looks += 1
-        if options.times and looks >= options.times:
+        refreshes += 1
+        if options.times and refreshes >= options.times:
             return EXIT_UNREACHABLE if failed else EXIT_OK
         time.sleep(options.every)
 
@@ -132,25 +134,25 @@
 
 
 def _explain_request(request: str, logs: list[Path]) -> int:
-    story = request_story(request, logs)
-    if not story:
+    timeline = request_timeline(request, logs)
+    if not timeline:
         print(f"no line of request {request}", file=sys.stderr)
         return EXIT_REFUSED
-    print("\n".join(story))
+    print("\n".join(timeline))
     return EXIT_OK
 
 
 def _behind(options: argparse.Namespace) -> int:
-    print("\n".join(behind_lines(options.log)))
+    print("\n".join(format_config_lags(options.log)))
     return EXIT_OK
 
 
 def _load(options: argparse.Namespace) -> int:
-    load = fleet_load(options.log)
+    load = load_from_logs(options.log)
     if load is None:
         print("no line of an instance", file=sys.stderr)
         return EXIT_REFUSED
-    print("\n".join(load_lines(load)))
+    print("\n".join(format_load(load)))
     if options.plot:
         from .load_plot import plot_load  # noqa: PLC0415 - only here is it needed
 
@@ -159,7 +161,7 @@
 
 
 def _urgency(options: argparse.Namespace) -> int:
-    print("\n".join(urgency_lines(options.log)))
+    print("\n".join(format_inversions(options.log)))
     return EXIT_OK
 
 
--- a/packages/buckthornwall-ctl/src/buckthornwall_ctl/stories.py
+++ b/packages/buckthornwall-ctl/src/buckthornwall_ctl/request_timeline.py
@@ -1,4 +1,4 @@
-"""The story of one request, from the logs of all instances."""
+"""The timeline of one request, from the logs of all instances."""
 
 from pathlib import Path
 
@@ -6,11 +6,11 @@
 
 from .log_lines import LogLine, read_logs
 
-__all__ = ["request_story"]
+__all__ = ["request_timeline"]
 
 # What an instance believed matters only this long before a request came in.
-BELIEF_S = 5.0
-BELIEFS = frozenset(
+CONTEXT_WINDOW_S = 5.0
+CONTEXT_EVENTS = frozenset(
     {
         "config_adopted",
         "upstream_set_aside",
@@ -28,10 +28,12 @@
 
 
 # What was found of the same request matters whenever and wherever it was.
-FINDINGS = frozenset({"request_suspected", "request_quarantined", "quarantine_lifted"})
+QUARANTINE_EVENTS = frozenset(
+    {"request_suspected", "request_quarantined", "quarantine_lifted"}
+)
 
 
-def request_story(request: str, paths: list[Path]) -> list[str]:
+def request_timeline(request: str, paths: list[Path]) -> list[str]:
     """Return what the logs tell of a request, in order over all instances.
 
     What its instances came to believe of its upstreams, of the store or of the
@@ -51,37 +53,45 @@
         SETTINGS_UNREADABLE if a file cannot be read.
     """
     lines = list(read_logs(paths))
-    own = [line for line in lines if line.pairs.get("request") == request]
-    if not own:
+    request_lines = [line for line in lines if line.fields.get("request") == request]
+    if not request_lines:
         return []
-    first = min(line.at for line in own)
-    last = max(line.at for line in own)
-    nodes = {line.pairs.get("node") for line in own}
-    upstreams = {line.pairs["upstream"] for line in own if "upstream" in line.pairs}
-    same = {line.pairs["fingerprint"] for line in own if "fingerprint" in line.pairs}
-    around = [
+    first = min(line.at for line in request_lines)
+    last = max(line.at for line in request_lines)
+    nodes = {line.fields.get("node") for line in request_lines}
+    upstreams = {
+        line.fields["upstream"] for line in request_lines if "upstream" in line.fields
+    }
+    fingerprints = {
+        line.fields["fingerprint"]
+        for line in request_lines
+        if "fingerprint" in line.fields
+    }
+    context = [
         line
         for line in lines
-        if line.pairs["event"] in BELIEFS
-        and line.pairs.get("node") in nodes
-        and line.pairs.get("upstream", "") in upstreams | {""}
-        and (line.at - first).total_seconds() >= -BELIEF_S
+        if line.fields["event"] in CONTEXT_EVENTS
+        and line.fields.get("node") in nodes
+        and line.fields.get("upstream", "") in upstreams | {""}
+        and (line.at - first).total_seconds() >= -CONTEXT_WINDOW_S
         and line.at <= last
     ]
-    findings = [
+    quarantine_lines = [
         line
         for line in lines
-        if line.pairs["event"] in FINDINGS
-        and line.pairs.get("fingerprint") in same
+        if line.fields["event"] in QUARANTINE_EVENTS
+        and line.fields.get("fingerprint") in fingerprints
         and line.at <= last
     ]
-    story = sorted(own + around + findings, key=lambda line: line.at)
-    return [line.told(first) for line in story] + _meaning(own)
+    timeline = sorted(
+        request_lines + context + quarantine_lines, key=lambda line: line.at
+    )
+    return [line.format(first) for line in timeline] + _explain_last_code(request_lines)
 
 
-def _meaning(own: list[LogLine]) -> list[str]:
+def _explain_last_code(request_lines: list[LogLine]) -> list[str]:
     """Return what the last code of a request means."""
-    codes = [line.pairs["code"] for line in own if "code" in line.pairs]
+    codes = [line.fields["code"] for line in request_lines if "code" in line.fields]
     for code in ResultCode:
         if codes and str(code.number) == codes[-1]:
             return [f"{code.number} {code.name}: {code.meaning}; {code.action}"]
--- a/packages/buckthornwall-ctl/src/buckthornwall_ctl/router_views.py
+++ b/packages/buckthornwall-ctl/src/buckthornwall_ctl/router_status.py
@@ -2,7 +2,7 @@
 
 from typing import Any
 
-__all__ = ["is_router", "router_lines"]
+__all__ = ["is_router", "format_router_status"]
 
 
 def is_router(status: dict[str, Any]) -> bool:
@@ -10,7 +10,7 @@
     return "fleet" in status
 
 
-def router_lines(status: dict[str, Any]) -> list[str]:
+def format_router_status(status: dict[str, Any]) -> list[str]:
     """Return a line of the instance, and what keeps requests from upstreams."""
     upstreams = status["upstreams"].values()
     in_use = sum(1 for each in upstreams if not each["aside"])
--- a/packages/buckthornwall-ctl/src/buckthornwall_ctl/tests/test_load.py
+++ b/packages/buckthornwall-ctl/src/buckthornwall_ctl/tests/test_load.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from buckthornwall_ctl.load import find_load, load_lines
+from buckthornwall_ctl.load import format_load, summarize_load
 from buckthornwall_ctl.log_lines import read_logs
 from buckthornwall_ctl.main import main
 
@@ -41,14 +41,14 @@
 
 
 def test_waits_and_refusals_are_counted_by_second(log):
-    load = find_load(read_logs([log]))
+    load = summarize_load(read_logs([log]))
     first, third = load.seconds[0], load.seconds[2]
-    assert (first.placed, first.refused, first.seen_ms) == (1, 0, [120.0])
-    assert (third.placed, third.refused, third.overdue) == (1, 1, {"b"})
+    assert (first.placed, first.refused, first.observed_ms) == (1, 0, [120.0])
+    assert (third.placed, third.refused, third.overdue_instances) == (1, 1, {"b"})
 
 
 def test_the_fullest_engine_and_the_worst_prediction_come_first(log):
-    lines = load_lines(find_load(read_logs([log])))
+    lines = format_load(summarize_load(read_logs([log])))
     engines = lines.index("engine  placed  most unread before  most in flight")
     assert lines[engines + 1] == "e2  1  70000  3"
     assert lines[-2:] == ["b  1  700", "a  1  20"]
--- a/packages/buckthornwall-ctl/src/buckthornwall_ctl/tests/test_urgency.py
+++ b/packages/buckthornwall-ctl/src/buckthornwall_ctl/tests/test_priority_inversion.py
@@ -4,7 +4,7 @@
 
 from buckthornwall_ctl.log_lines import read_logs
 from buckthornwall_ctl.main import main
-from buckthornwall_ctl.urgency import find_windows
+from buckthornwall_ctl.priority_inversion import count_by_window
 
 REFUSED = (
     "time=2026-01-01T00:00:0{at}.000+00:00 level=WARNING node=a event=request_refused "
@@ -29,11 +29,11 @@
 
 
 def test_requests_are_counted_by_window_and_tier(log):
-    windows = find_windows(read_logs([log]))
-    assert windows[0, "p", 1].without == {"2001": 1}
-    assert windows[0, "p", 1].share_without == 0.5
-    assert windows[0, "p", 2].begun == 1
-    assert windows[1, "p", 2].without == {"2001": 1}
+    windows = count_by_window(read_logs([log]))
+    assert windows[0, "p", 1].unserved == {"2001": 1}
+    assert windows[0, "p", 1].unserved_share == 0.5
+    assert windows[0, "p", 2].served == 1
+    assert windows[1, "p", 2].unserved == {"2001": 1}
 
 
 def test_only_windows_in_which_less_urgent_ones_began_are_shown(log, capsys):
--- a/packages/buckthornwall-ctl/src/buckthornwall_ctl/tests/test_router_views.py
+++ b/packages/buckthornwall-ctl/src/buckthornwall_ctl/tests/test_router_status.py
@@ -1,6 +1,6 @@
 """Tests of what operators see of instances behind a balancer."""
 
-from buckthornwall_ctl.router_views import is_router, router_lines
+from buckthornwall_ctl.router_status import format_router_status, is_router
 
 UPSTREAM = {"aside": False, "cold_s": 0.0, "zone": "north"}
 STATUS = {
@@ -16,7 +16,7 @@
 
 
 def test_an_evacuated_zone_is_shown_below_its_instance():
-    first, second = router_lines(STATUS)
+    first, second = format_router_status(STATUS)
     assert first.split() == ["front-1", "ready", "7", "3", "1", "of", "2", "upstreams"]
     assert second == "  evacuated: north since revision 41"
 
@@ -26,7 +26,7 @@
         "a": UPSTREAM | {"cold_s": 1.5},
         "b": UPSTREAM | {"zone": "lost"},
     }
-    lines = router_lines(STATUS | {"evacuated": {}, "upstreams": upstreams})
+    lines = format_router_status(STATUS | {"evacuated": {}, "upstreams": upstreams})
     assert lines[1:] == ["  cold: a", "  in no region: lost"]
 
 
