--- a/packages/buckthornwall/src/buckthornwall/upstreams/__init__.py
+++ b/packages/buckthornwall/src/buckthornwall/upstreams/__init__.py
@@ -1,4 +1,4 @@
-"""Streams from engines, calls to plain services, orders to engines."""
+"""Streams from engines, calls to services, loading of adapters into engines."""
 
 from buckthornwall.utils import lazy_exports
 
--- a/packages/buckthornwall/src/buckthornwall/upstreams/adapter_reconciler.py
+++ b/packages/buckthornwall/src/buckthornwall/upstreams/adapter_reconciler.py
@@ -1,10 +1,11 @@
-"""Orders to engines, worked out from the records in force.
+"""Reconciliation of the adapters that engines have loaded with their records.
 
-One node, by rendezvous, brings each engine to what its record says. An order
-carries the records' number as its fencing number [1]_. An engine that ignores
-the number is protected as far as can be: its state is read right before the
-order, an order is only for a state that differs, and the last check of our own
-freshness stands in the same step that writes the request.
+One instance per engine, chosen by rendezvous hashing, loads the adapters named in
+the engine's record. Each request to load carries the number of the records as its
+fencing token [1]_. For engines that ignore the token the risk of a stale request is
+kept as small as possible: the loaded adapters are read right before it, only those
+that differ are loaded, and the last check that this instance is not stale happens
+in the same step that writes the request.
 
 References
 ----------
@@ -33,19 +34,21 @@
 
 
 class AdapterReconciler:
-    """Brings engines to their records.
+    """Load the adapters that engines' records name.
 
     Parameters
     ----------
     settings
         The ``[upstreams]`` section.
     pool
-        Connections to use; it must keep none, since one that waited through a
-        freeze must not carry an order afterwards.
+        Connection pool without keep-alive: a connection that was open during a
+        freeze of this process must not carry a request afterwards.
     store, members, freeze
-        Records in force, the view of the fleet, and our own freezes.
+        Records in force, the membership table, and the detector of freezes of this
+        process.
     is_caught_up
-        Tells whether others were heard since the start or the last freeze.
+        Returns whether anything was received from others since the start or the last
+        freeze.
     """
 
     def __init__(
@@ -67,7 +70,7 @@
         self.fenced = 0
 
     async def run(self) -> None:
-        """Compare and mend, again and again."""
+        """Reconcile the engines assigned to this instance periodically."""
         while True:
             await trio.sleep(RECONCILE_INTERVAL_S)
             if self.store.view is None or not self.is_caught_up():
@@ -98,9 +101,11 @@
             log_event("order_failed", "WARNING", engine=engine.id, detail=error)
 
     def _check_not_fenced(self, number: int) -> None:
-        """Refuse to order when we slept or newer records are in force."""
+        """Raise an error if this process was frozen or newer records are in force."""
         if self.freeze.check() or not self.is_caught_up():
-            raise UpstreamError(ResultCode.ORDER_FENCED, "woke late", sent=False)
+            raise UpstreamError(
+                ResultCode.ORDER_FENCED, "frozen or not caught up", sent=False
+            )
         if self.store.number != number:
             raise UpstreamError(ResultCode.ORDER_FENCED, "newer records", sent=False)
 
--- a/packages/buckthornwall/src/buckthornwall/upstreams/budget.py
+++ b/packages/buckthornwall/src/buckthornwall/upstreams/budget.py
@@ -1,4 +1,4 @@
-"""A retry budget: a token bucket filled by a share of the traffic.
+"""A retry budget: a token bucket that each first attempt refills by a fraction.
 
 References
 ----------
@@ -8,18 +8,18 @@
 
 __all__ = ["RetryBudget"]
 
-ROUNDING_TOLERANCE = 1e-9  # ten tenths added up are a little less than one
+ROUNDING_TOLERANCE = 1e-9  # the sum of ten times 0.1 is slightly less than 1
 
 
 class RetryBudget:
-    """Allows retries as a share of first attempts, with a small reserve.
+    """Allow retries as a fraction of first attempts, with a small reserve.
 
     Parameters
     ----------
     ratio
-        Retries earned by each first attempt.
+        Retries added to the balance by each first attempt.
     reserve
-        Most retries that can be saved up.
+        Maximum and initial balance, in retries.
     """
 
     def __init__(self, ratio: float, reserve: float) -> None:
@@ -28,11 +28,11 @@
         self.balance = reserve
 
     def earn(self) -> None:
-        """Count a first attempt."""
+        """Record a first attempt."""
         self.balance = min(self.reserve, self.balance + self.ratio)
 
     def spend(self) -> bool:
-        """Take one retry; False if there is none left."""
+        """Take one retry from the balance; return False if none is left."""
         if self.balance < 1 - ROUNDING_TOLERANCE:
             return False
         self.balance -= 1
--- a/packages/buckthornwall/src/buckthornwall/upstreams/engine.py
+++ b/packages/buckthornwall/src/buckthornwall/upstreams/engine.py
@@ -23,7 +23,7 @@
 DONE_DATA = b"[DONE]"
 MAX_EVENT_BYTES = 2**20
 MAX_ERROR_BYTES = 300
-NOT_EXECUTED_STATUSES = {429, 503}  # an engine says so before it starts
+NOT_EXECUTED_STATUSES = {429, 503}  # sent before an engine starts the request
 
 
 class UpstreamSettings(ConfigNamespace):
@@ -49,7 +49,7 @@
 
 
 def extract_sse_events(buffer: bytearray) -> list[bytes]:
-    """Take the data of every whole server-sent event out of `buffer`."""
+    """Remove all complete server-sent events from `buffer` and return their data."""
     end = buffer.rfind(EVENT_END)
     if end < 0:
         return []
@@ -63,14 +63,14 @@
 
 
 class EngineClient:
-    """Opens streams to engines and tells apart the ways they fail.
+    """Open streams to engines and classify their failures.
 
     Parameters
     ----------
     settings
         The ``[upstreams]`` section.
     pool
-        Connections to use.
+        Connection pool.
     clock
         Source of time.
     """
@@ -102,15 +102,15 @@
         attempt: AttemptId,
         traceparent: str | None,
     ) -> AsyncIterator[list[dict[str, Any]]]:
-        """Yield the chunks of one attempt, those that came together at once.
+        """Yield the chunks of one attempt, those received together as one list.
 
-        A chunk that does not carry the attempt's id is dropped. Leaving the
+        A chunk that does not carry the attempt's id is dropped. Ending the
         iteration early closes the connection, which cancels the engine's work.
 
         Raises
         ------
         UpstreamError
-            Saying whether the engine may have begun to run the request.
+            `sent` says whether the engine may have started to execute the request.
         """
         headers = [
             (b"content-type", b"application/json"),
@@ -154,7 +154,7 @@
         async for data in response.aiter_stream():
             buffer += data
             if len(buffer) > MAX_EVENT_BYTES:
-                raise UpstreamError(ResultCode.UPSTREAM_GARBAGE, "an endless event")
+                raise UpstreamError(ResultCode.UPSTREAM_GARBAGE, "event too long")
             events = extract_sse_events(buffer)
             done = bool(events) and events[-1] == DONE_DATA
             chunks = self._decode(events[:-1] if done else events, attempt)
@@ -162,7 +162,7 @@
                 yield chunks
             if done:
                 return
-        raise UpstreamError(ResultCode.UPSTREAM_BROKEN, "ended before [DONE]")
+        raise UpstreamError(ResultCode.UPSTREAM_BROKEN, "stream ended before [DONE]")
 
     def _decode(self, events: list[bytes], attempt: AttemptId) -> list[dict[str, Any]]:
         chunks = []
@@ -172,7 +172,9 @@
             except msgspec.DecodeError as error:
                 raise UpstreamError(ResultCode.UPSTREAM_GARBAGE, str(error)) from error
             if not isinstance(chunk, dict):
-                raise UpstreamError(ResultCode.UPSTREAM_GARBAGE, "not an object")
+                raise UpstreamError(
+                    ResultCode.UPSTREAM_GARBAGE, "chunk is no JSON object"
+                )
             if "error" in chunk:
                 raise UpstreamError(ResultCode.UPSTREAM_BROKEN, str(chunk["error"]))
             if not str(chunk.get("id", "")).endswith(attempt):
@@ -182,7 +184,10 @@
         return chunks
 
     async def read_load(self, engine: Upstream) -> tuple[int, bool] | None:
-        """Return the engine's count of requests and whether it is leaving."""
+        """Return the engine's number of requests and whether it is leaving.
+
+        None if the engine could not be read.
+        """
         try:
             response = await self.pool.request(
                 "GET",
--- a/packages/buckthornwall/src/buckthornwall/upstreams/service.py
+++ b/packages/buckthornwall/src/buckthornwall/upstreams/service.py
@@ -1,4 +1,4 @@
-"""Calls to plain services."""
+"""Calls to services."""
 
 import httpcore
 
@@ -28,18 +28,18 @@
 
 
 class ServiceClient:
-    """Makes single calls, each on a fresh connection.
+    """Make single calls, each on a new connection.
 
-    A kept connection may turn out to be closed only after a request was
-    written to it, and then nobody knows whether the service saw the request.
-    On a fresh one a failure to connect proves that nothing was sent.
+    A reused connection may turn out to be closed only after a request was written
+    to it; whether the service received the request is then unknown. On a new one,
+    a failure to connect proves that nothing was sent.
 
     Parameters
     ----------
     settings
         The ``[upstreams]`` section.
     pool
-        Connections to use; it must keep none.
+        Connection pool without keep-alive.
     """
 
     def __init__(
@@ -57,12 +57,12 @@
         body: bytes,
         timeout_s: float,
     ) -> ServiceResponse:
-        """Send one request once.
+        """Send a request, without retries.
 
         Raises
         ------
         UpstreamError
-            With `sent` False only if no byte can have reached the service.
+            `sent` is False only if no byte can have reached the service.
         """
         timeouts = {
             "connect": self.settings.connect_s,
