--- a/packages/buckthornwall/src/buckthornwall/gateway/__init__.py
+++ b/packages/buckthornwall/src/buckthornwall/gateway/__init__.py
@@ -1,4 +1,4 @@
-"""HTTP for callers and for operators, as ASGI applications."""
+"""ASGI applications for clients and for operators."""
 
 from .app import GatewayApp, GatewaySettings
 from .completions import CompletionHandler
--- a/packages/buckthornwall/src/buckthornwall/gateway/app.py
+++ b/packages/buckthornwall/src/buckthornwall/gateway/app.py
@@ -1,4 +1,4 @@
-"""The callers' ASGI application: paths, limits, and errors."""
+"""The ASGI application for clients: routes, settings and error responses."""
 
 from collections.abc import Awaitable, Callable
 
@@ -20,7 +20,7 @@
 
 
 class GatewaySettings(ConfigNamespace):
-    """Settings of the callers' listener."""
+    """Settings of the listener for clients."""
 
     section = "gateway"
 
@@ -46,16 +46,18 @@
 
 
 class GatewayApp:
-    """Dispatches callers' requests and answers whatever goes wrong.
+    """Dispatch clients' requests and turn failures into error responses.
 
     Parameters
     ----------
     settings
         The ``[gateway]`` section.
-    admission, completions, services
-        What handles the requests.
+    admission
+        Authenticates teams and holds the records in force.
+    completions, services
+        Handlers of the requests.
     metrics
-        Collectors of this instance.
+        Metrics of this instance.
     """
 
     def __init__(
@@ -106,7 +108,7 @@
         except Refusal as refusal:
             await self._refuse(exchange, refusal)
         except Exception as error:
-            # The last resort: a fault of ours must not leave a caller waiting.
+            # A bug in the router must not leave a client without a response.
             log_event("internal_error", "ERROR", detail=repr(error))
             refusal = Refusal(
                 ResultCode.UPSTREAM_BROKEN, "internal error", Executed.UNKNOWN
--- a/packages/buckthornwall/src/buckthornwall/gateway/completion_response.py
+++ b/packages/buckthornwall/src/buckthornwall/gateway/completion_response.py
@@ -1,4 +1,4 @@
-"""The one answer a caller gets, put together from the chunks of attempts."""
+"""Completion responses, assembled from the chunks of one or more attempts."""
 
 from typing import Any
 
@@ -27,7 +27,7 @@
 
 
 def has_finish_reason(chunks: list[dict[str, Any]]) -> bool:
-    """Tell whether the text ends with these chunks."""
+    """Return whether any of the chunks carries a finish reason."""
     return any(
         choice.get("finish_reason")
         for chunk in chunks
@@ -36,14 +36,14 @@
 
 
 class CompletionResponse:
-    """What has been delivered so far; subclasses write it to the caller.
+    """Record what has been received from engines; subclasses write it to the client.
 
     Parameters
     ----------
     exchange
-        The caller.
+        The client's request.
     chat
-        Whether it is a chat completion, else a text completion.
+        Whether this is a chat completion rather than a text completion.
     """
 
     def __init__(self, exchange: Exchange, chat: bool) -> None:
@@ -56,11 +56,14 @@
 
     @property
     def text(self) -> str:
-        """All text delivered so far."""
+        """The text received so far."""
         return "".join(self.text_parts)
 
     def record_chunks(self, chunks: list[dict[str, Any]]) -> int:
-        """Keep the chunks' text; return how many tokens they hold."""
+        """Record the text of chunks; return the number of chunks with text.
+
+        A chunk with text counts as one token.
+        """
         new_tokens = 0
         for chunk in chunks:
             text = text_of(chunk)
@@ -71,26 +74,29 @@
         return new_tokens
 
     def with_response_id(self, chunk: dict[str, Any]) -> dict[str, Any]:
-        """Give a chunk the id of the answer, whichever attempt it is from."""
+        """Set the chunk's id to that of the response's first chunk.
+
+        Chunks of different attempts thus carry the same id.
+        """
         if self.response_id is None:
             self.response_id = chunk.get("id")
         chunk["id"] = self.response_id
         return chunk
 
     async def write_chunks(self, chunks: list[dict[str, Any]]) -> None:
-        """Take chunks that came together."""
+        """Write chunks that were received together."""
         raise NotImplementedError
 
     async def finish(self) -> None:
-        """End the answer, which is whole."""
+        """End the response, which is complete."""
         raise NotImplementedError
 
 
 class StreamedResponse(CompletionResponse):
-    """Server-sent events, those that came together in one write."""
+    """Write server-sent events; those received together go out in one write."""
 
     async def write_chunks(self, chunks: list[dict[str, Any]]) -> None:
-        """Send the chunks on."""
+        """Write the chunks as events, after the headers if these are not sent yet."""
         if not self.exchange.started:
             headers = [("content-type", EVENT_STREAM), ("cache-control", "no-store")]
             await self.exchange.start(200, headers)
@@ -102,7 +108,7 @@
         await self.exchange.write(b"".join(events))
 
     async def finish(self) -> None:
-        """Send the closing event."""
+        """Write the ``[DONE]`` event."""
         if not self.exchange.started:
             await self.write_chunks([])
         self.finished = True
@@ -110,7 +116,7 @@
 
 
 class BufferedResponse(CompletionResponse):
-    """One JSON object, sent when the answer is whole."""
+    """Write one JSON object once the response is complete."""
 
     def __init__(self, exchange: Exchange, chat: bool) -> None:
         super().__init__(exchange, chat)
@@ -120,7 +126,7 @@
         self.usage: dict[str, Any] | None = None
 
     async def write_chunks(self, chunks: list[dict[str, Any]]) -> None:
-        """Gather the chunks by choice."""
+        """Collect the text of the chunks by choice."""
         for chunk in chunks:
             self.first_chunk = self.first_chunk or self.with_response_id(chunk)
             self.usage = chunk.get("usage") or self.usage
@@ -140,7 +146,7 @@
         return {"index": index, **content, "finish_reason": reason}
 
     async def finish(self) -> None:
-        """Send the object."""
+        """Write the object."""
         body = {
             "id": self.response_id,
             "object": "chat.completion" if self.chat else "text_completion",
--- a/packages/buckthornwall/src/buckthornwall/gateway/completions.py
+++ b/packages/buckthornwall/src/buckthornwall/gateway/completions.py
@@ -1,4 +1,4 @@
-"""Chat and text completions: from a caller to engines and back."""
+"""Chat and text completions, streamed from engines to a client."""
 
 from collections.abc import Callable
 from contextlib import aclosing
@@ -29,26 +29,28 @@
 
 
 class CompletionHandler:
-    """Serves completions: waits for a slot, streams, resumes what broke.
+    """Serve completions: wait for a slot, stream, resume after a failure.
 
     Parameters
     ----------
-    admission, teams
-        Who may ask for what.
+    admission
+        Authenticates teams and admits their requests.
+    teams
+        Limits the concurrent requests of each team.
     entry
-        Gets slots.
+        Acquires slots.
     engines
         Opens the streams.
     budget
-        Allows attempts after the first.
+        Retry budget, for attempts that replace a failed one.
     metrics, tracing, clock
-        As elsewhere.
+        Metrics, trace spans and the time source of this instance.
     limits
         The ``[gateway]`` section.
     coalesce_s
-        Seconds within which chunks are sent on together.
+        Seconds within which chunks are forwarded together.
     on_engine_leaving
-        Told of an engine that refuses new work.
+        Called with the id of an engine that refuses new work because it is leaving.
     """
 
     def __init__(
@@ -78,7 +80,7 @@
         self.on_engine_leaving = on_engine_leaving
 
     async def handle(self, exchange: Exchange) -> None:
-        """Serve one request; cancel its work as soon as the caller is gone."""
+        """Serve one request; cancel its work as soon as the client disconnects."""
         started_at = self.clock.now()
         team = self.admission.authenticate(exchange.headers.get("authorization"))
         raw_body = await exchange.read_body(
@@ -144,10 +146,10 @@
             raise ClientDisconnected
 
     async def _run_attempts(self, job: CompletionJob) -> None:
-        """Make attempts until the answer is whole or there is no use in more.
+        """Make attempts until the response is complete or no retry is allowed.
 
-        An attempt that is preempted is no failure: it neither counts nor
-        spends of the retry budget.
+        A preempted attempt is not a failure: it does not count towards the
+        maximum of attempts and takes nothing from the retry budget.
         """
         self.budget.earn()
         excluded: list[UpstreamId] = []
@@ -207,7 +209,7 @@
         return slot
 
     async def _attempt(self, job: CompletionJob, slot: HeldSlot) -> None:
-        """Stream one attempt, and give its slot back however it ends."""
+        """Stream one attempt; release its slot however it ends."""
         kind = ReleaseKind.CANCELLED
         timings = TokenTimings(self.clock)
         try:
@@ -245,10 +247,10 @@
     ) -> None:
         attempt = AttemptId(f"{new_id():x}")
         body = self._engine_body(job)
-        # Preemption is looked at between writes: a write that is cancelled
-        # half-way would break the caller's stream. The loop's own pause is what
-        # gathers chunks: while it sleeps they collect in the socket, and one
-        # read then brings them all.
+        # Preemption is checked between writes, since cancelling a write half-way
+        # would break the client's stream. Chunks are coalesced by the sleep in
+        # this loop: they collect in the socket meanwhile, and one read returns
+        # them all.
         stream = self.engines.stream(engine, job.path, body, attempt, traceparent)
         async with aclosing(stream):
             async for chunks in stream:
@@ -273,22 +275,22 @@
         )
 
     def _engine_body(self, job: CompletionJob) -> dict[str, Any]:
-        """Return the body for the next attempt, going on from what came before."""
+        """Return the body of the next attempt, which continues the text so far."""
         body = dict(job.body)
         body["stream"] = True
         body["stream_options"] = {"include_usage": True}
         body["priority"] = job.admitted.service_class.tier
         body["model"] = job.admitted.route.target
-        delivered = job.response.text
-        if not delivered:
+        received_text = job.response.text
+        if not received_text:
             return body
         if job.path == CHAT_PATH:
-            partial = {"role": "assistant", "content": delivered}
+            partial = {"role": "assistant", "content": received_text}
             body["messages"] = [*job.body["messages"], partial]
             body["add_generation_prompt"] = False
             body["continue_final_message"] = True
         else:
-            body["prompt"] = job.body["prompt"] + delivered
+            body["prompt"] = job.body["prompt"] + received_text
         if job.body.get("max_tokens"):
             body["max_tokens"] = max(1, job.body["max_tokens"] - job.response.tokens)
         return body
--- a/packages/buckthornwall/src/buckthornwall/gateway/http.py
+++ b/packages/buckthornwall/src/buckthornwall/gateway/http.py
@@ -1,4 +1,4 @@
-"""One HTTP exchange over ASGI."""
+"""HTTP exchanges over ASGI."""
 
 import math
 from typing import Any
@@ -15,12 +15,12 @@
 EVENT_STREAM = "text/event-stream"
 
 
-class ClientDisconnected(Exception):  # noqa: N818 - it is a signal, not an error
-    """The caller has closed the connection."""
+class ClientDisconnected(Exception):  # noqa: N818 - not an error
+    """The client has closed the connection."""
 
 
 def error_body(refusal: Refusal) -> dict[str, Any]:
-    """Return the body that tells a caller of a refusal."""
+    """Return the JSON error body of a refusal."""
     error: dict[str, Any] = {
         "message": str(refusal),
         "type": refusal.code.name.lower(),
@@ -33,12 +33,12 @@
 
 
 class Exchange:
-    """A request and the one answer to it.
+    """A request and its response.
 
     Parameters
     ----------
     scope, receive, send
-        As ASGI gives them.
+        Arguments of an ASGI application.
     """
 
     def __init__(self, scope: dict, receive: Any, send: Any) -> None:
@@ -56,14 +56,14 @@
         self.close_after = False
 
     async def read_body(self, limit_bytes: int, timeout_s: float) -> bytes:
-        """Return the whole body.
+        """Return the complete request body.
 
         Raises
         ------
         Refusal
-            If it is too large or too slow.
+            If the body is too large or arrives too slowly.
         ClientDisconnected
-            If the caller closed the connection meanwhile.
+            If the client closes the connection before the body is complete.
         """
         body = bytearray()
         try:
@@ -83,7 +83,7 @@
             raise Refusal(ResultCode.BODY_TOO_SLOW, f"{timeout_s} s") from None
 
     async def wait_for_disconnect(self) -> None:
-        """Return when the caller has closed the connection."""
+        """Return once the client has closed the connection."""
         while (await self.receive())["type"] != "http.disconnect":
             pass
 
@@ -100,7 +100,7 @@
         )
 
     async def write(self, body: bytes, more: bool = True) -> None:
-        """Send a part of the body."""
+        """Send a chunk of the body; the last one if `more` is false."""
         self.ended = not more
         await self.send({"type": "http.response.body", "body": body, "more_body": more})
 
@@ -111,7 +111,7 @@
         content_type: str = JSON,
         headers: list[tuple[str, str]] | None = None,
     ) -> None:
-        """Send a whole answer."""
+        """Send a complete response."""
         default_headers = [
             ("content-type", content_type),
             ("content-length", str(len(body))),
@@ -125,22 +125,22 @@
         status: int = 200,
         headers: list[tuple[str, str]] | None = None,
     ) -> None:
-        """Send a whole answer as JSON."""
+        """Send a complete response as JSON."""
         await self.respond(status, msgspec.json.encode(value), headers=headers)
 
     async def refuse(self, refusal: Refusal, key: str | None = None) -> None:
-        """Send a refusal, or end a stream that has begun with one.
+        """Send an error response, or end a started response with an error event.
 
-        Nothing is sent where the answer has ended already: its last write may have
-        failed, and a second end would break the connection's state and with it the
-        whole server.
+        Nothing is sent if the response has already ended: its last write may have
+        failed, and ending it twice would corrupt the connection's state and bring
+        down the whole server.
 
         Parameters
         ----------
         refusal
-            What to say.
+            The error to report.
         key
-            A fresh idempotency key to offer with it.
+            A new idempotency key to send with it.
         """
         if self.ended:
             log_event("refusal_after_end", "WARNING", path=self.path, detail=refusal)
--- a/packages/buckthornwall/src/buckthornwall/gateway/job.py
+++ b/packages/buckthornwall/src/buckthornwall/gateway/job.py
@@ -1,4 +1,4 @@
-"""One caller's completion on its way through the attempts."""
+"""A completion request and its state across attempts."""
 
 from dataclasses import dataclass
 from hashlib import blake2b
@@ -20,7 +20,7 @@
 
 @dataclass
 class CompletionJob:
-    """One caller's request on its way through the attempts."""
+    """A client's completion request and its state across attempts."""
 
     path: str
     body: dict[str, Any]
@@ -35,14 +35,14 @@
 
     @property
     def executed(self) -> Executed:
-        """Whether any attempt so far has run, as far as can be told."""
+        """Whether any attempt has been executed, as far as is known."""
         if self.response.tokens:
             return Executed.YES
         return Executed.UNKNOWN if self.may_have_executed else Executed.NO
 
     @property
     def resumable(self) -> bool:
-        """Whether a broken answer can go on from what was delivered."""
+        """Whether a new attempt can continue the text of a failed one."""
         body = self.body
         return (
             body.get("n", 1) == 1
@@ -53,7 +53,7 @@
 
 
 def check_body(path: str, raw: bytes) -> dict[str, Any]:
-    """Decode and check the fields that the router itself reads.
+    """Decode the body and check the fields that the router reads.
 
     Raises
     ------
@@ -71,7 +71,7 @@
     if not isinstance(body, dict):
         raise malformed("expected an object")
     if not isinstance(body.get("model"), str):
-        raise malformed("model: expected a name")
+        raise malformed("model: expected a string")
     if type(body.get("stream", False)) is not bool:
         raise malformed("stream: expected true or false")
     limit = body.get("max_tokens")
@@ -80,16 +80,16 @@
     if path == CHAT_PATH:
         messages = body.get("messages")
         if not isinstance(messages, list) or not messages:
-            raise malformed("messages: expected a list that is not empty")
+            raise malformed("messages: expected a non-empty list")
         if not all(isinstance(each, dict) for each in messages):
             raise malformed("messages: expected objects")
     elif not isinstance(body.get("prompt"), str | list):
-        raise malformed("prompt: expected a text or a list")
+        raise malformed("prompt: expected a string or a list")
     return body
 
 
 def hash_prefix(body: dict[str, Any]) -> int:
-    """Return a hash of the prompt's beginning, for the engines' prefix caches."""
+    """Return a hash of the prompt's beginning, for routing to cached prefixes."""
     prompt = body.get("messages", body.get("prompt"))
     encoded_head = msgspec.json.encode(prompt)[:MAX_HASHED_BYTES]
     return int.from_bytes(blake2b(encoded_head, digest_size=HASH_BYTES).digest())
--- a/packages/buckthornwall/src/buckthornwall/gateway/operators.py
+++ b/packages/buckthornwall/src/buckthornwall/gateway/operators.py
@@ -1,4 +1,4 @@
-"""The operators' ASGI application, on a listener of its own."""
+"""The ASGI application for operators, on a separate listener."""
 
 from collections.abc import Callable
 from typing import Any
@@ -13,7 +13,7 @@
 
 
 class OperatorSettings(ConfigNamespace):
-    """Settings of the operators' listener."""
+    """Settings of the listener for operators."""
 
     section = "operators"
 
@@ -21,18 +21,18 @@
 
 
 class OperatorApp:
-    """Serves health, status, records and metrics.
+    """Serve health checks, status, records and metrics.
 
     Parameters
     ----------
     status
-        Returns what ``/status`` shows.
+        Returns the body of ``/status``.
     is_ready
-        Tells whether callers should be sent here.
+        Returns whether this instance should receive requests of clients.
     records
-        Returns the published bytes of the records in force.
+        Returns the records in force, as the bytes that were published.
     metrics
-        Returns body and headers of ``/metrics`` for an Accept header.
+        Returns the body and headers of ``/metrics`` for an Accept header.
     """
 
     def __init__(
--- a/packages/buckthornwall/src/buckthornwall/gateway/services.py
+++ b/packages/buckthornwall/src/buckthornwall/gateway/services.py
@@ -1,4 +1,4 @@
-"""Calls to plain services, repeatable or not."""
+"""Calls to services, repeatable or not."""
 
 from urllib.parse import quote
 
@@ -33,24 +33,26 @@
 
 
 class ServiceHandler:
-    """Serves ``ANY /services/<route>/...`` and ``POST /idempotency-keys``.
+    """Serve ``ANY /services/<route>/...`` and ``POST /idempotency-keys``.
 
     Parameters
     ----------
-    admission, teams
-        Who may call what.
+    admission
+        Authenticates teams and admits their requests.
+    teams
+        Limits the concurrent requests of each team.
     agent
-        Runs the calls that may not be repeated.
+        Makes calls that must not be repeated.
     client
-        Makes the calls that may.
+        Makes repeatable calls.
     budget
-        Allows their retries.
+        Retry budget of repeatable calls.
     tracing, clock
-        As elsewhere.
+        Trace spans and the time source of this instance.
     limits
         The ``[gateway]`` section.
     is_leaving
-        Tells whether an upstream should get no new work, at a time.
+        Returns whether an upstream should get no new work at a given time.
     """
 
     def __init__(
@@ -85,7 +87,7 @@
         await exchange.respond_json({"idempotency_key": self.create_key()}, 201)
 
     async def handle(self, exchange: Exchange) -> None:
-        """Serve a call to a plain service."""
+        """Serve a call to a service."""
         team = self.admission.authenticate(exchange.headers.get("authorization"))
         name, _, subpath = exchange.path[len(SERVICES_PREFIX) :].partition("/")
         requested_class = exchange.headers.get(CLASS_HEADER)
@@ -138,7 +140,10 @@
         return await self.agent.call(key, request)
 
     async def _call_repeatable(self, request: CallRequest) -> StoredOutcome:
-        """Call, and once more on another upstream if the first try fails."""
+        """Call an upstream, and retry on another one if the call fails.
+
+        Gives up after two upstreams have failed or when the retry budget is empty.
+        """
         self.budget.earn()
         excluded: set[str] = set()
         while True:
@@ -182,14 +187,14 @@
         return [upstreams[each] for each in rendezvous_order(str(now), upstreams)]
 
     async def dispatch_once(self, request: CallRequest) -> StoredOutcome:
-        """Make the one call of an idempotency key.
+        """Make the single call of an idempotency key.
 
-        Another upstream is tried only where nothing can have been sent.
+        The next upstream is tried only if nothing can have been sent to the last one.
 
         Raises
         ------
         UpstreamError
-            Saying whether anything may have been sent.
+            `sent` says whether anything may have been sent.
         """
         failure = UpstreamError(ResultCode.UPSTREAM_UNREACHABLE, sent=False)
         for upstream in self.candidates(request.route):
--- a/packages/buckthornwall/src/buckthornwall/gateway/token_timings.py
+++ b/packages/buckthornwall/src/buckthornwall/gateway/token_timings.py
@@ -1,4 +1,4 @@
-"""How fast the tokens of one attempt come."""
+"""Timings of the tokens of one attempt."""
 
 from buckthornwall.utils import Clock
 
@@ -6,7 +6,7 @@
 
 
 class TokenTimings:
-    """First-token time and mean inter-token time of one attempt."""
+    """Time to first token and mean inter-token time of one attempt."""
 
     def __init__(self, clock: Clock) -> None:
         self.clock = clock
@@ -17,7 +17,7 @@
         self.last_gap_s = 0.0
 
     def record_tokens(self) -> None:
-        """Note that tokens came."""
+        """Record the arrival of tokens."""
         now = self.clock.now()
         if not self.first_token_at:
             self.first_token_at = now
@@ -27,15 +27,15 @@
         self.last_token_at = now
 
     def should_coalesce(self, chunks: int, window_s: float) -> bool:
-        """Tell whether more chunks are likely to come within a window.
+        """Return whether more chunks are likely to arrive within a window.
 
-        Where they come slower, a pause would gather nothing and only cost a
-        timer; a batch of several shows that the last pause was worth while.
+        If tokens arrive more slowly, waiting would collect nothing and cost a
+        timer. More than one chunk at once shows that the last wait paid off.
         """
         return chunks > 1 or 0 < self.last_gap_s < window_s
 
     def mean_gap_s(self, tokens: int) -> float:
-        """Return the mean seconds between tokens, 0 if too few came."""
+        """Return the mean seconds between tokens; 0 for fewer than two."""
         if tokens < 2:
             return 0.0
         return (self.last_token_at - self.first_token_at) / (tokens - 1)
