--- a/packages/buckthornwall/src/buckthornwall/links/messages.py
+++ b/packages/buckthornwall/src/buckthornwall/links/messages.py
@@ -21,30 +21,30 @@
 )
 
 __all__ = [
-    "EnqueueAccepted",
     "CallForward",
     "CallOutcome",
     "Challenge",
     "Enqueue",
+    "EnqueueAccepted",
     "EnqueueRefused",
     "Grant",
-    "LedgerHandover",
     "HandoverAccepted",
     "Heartbeat",
     "Hello",
-    "ReportedSlot",
-    "SlotReport",
     "KeyEntry",
+    "LedgerHandover",
+    "LedgerMoved",
     "Message",
     "NodeState",
-    "LedgerMoved",
     "PeerAddress",
     "Preempt",
     "RecordsReply",
     "RecordsRequest",
     "Release",
     "ReleaseKind",
+    "ReportedSlot",
     "ShareLeaseEnded",
+    "SlotReport",
     "Withdraw",
 ]
 
@@ -117,7 +117,7 @@
 
     `start_within_s` counts from sending, which was at `sent_at` on the entry's
     clock. With `local` the receiver, always
-    the sender itself, decides within its own part of the pool.
+    the sender itself, decides within its own share of the pool.
     """
 
     request: RequestId
@@ -204,7 +204,7 @@
     """Every slot of a pool that the sender uses now.
 
     With `renews_lease` it renews a lease: for so long the receiver may give out
-    the sender's part of the pool. Without, it ends the lease at once.
+    the sender's share of the pool. Without, it ends the lease at once.
     `lease_number` numbers the sender's leases of the pool, so that the answer to the
     end of one is not taken for the end of the next; it is 0 in a report that
     is about no lease. `sent_at` is on the sender's clock; see `DelayEstimator`.
@@ -218,7 +218,7 @@
 
 
 class ShareLeaseEnded(Struct, array_like=True, tag=13):
-    """A scheduler no longer counts on a lease of the receiver's part."""
+    """A scheduler no longer uses the lease of the receiver's share."""
 
     pool: ModelId
     lease_number: int
--- a/packages/buckthornwall/src/buckthornwall/scheduling/__init__.py
+++ b/packages/buckthornwall/src/buckthornwall/scheduling/__init__.py
@@ -27,6 +27,6 @@
     "SchedulingSettings",
     "SlotRequest",
     "Ticket",
-    "share_capacity",
     "reported_capacity",
+    "share_capacity",
 ]
--- a/packages/buckthornwall/src/buckthornwall/scheduling/core.py
+++ b/packages/buckthornwall/src/buckthornwall/scheduling/core.py
@@ -27,7 +27,7 @@
 __all__ = ["PoolScheduler"]
 
 STARVATION_S = 10.0
-UNCONFIRMED_GRANT_S = 3.0  # then a grant missing from slot reports is freed
+UNCONFIRMED_GRANT_S = 3.0  # after it a grant that no slot report lists is freed
 TOTAL_CACHE_S = 0.01
 # Divisor of the predicted wait, which assumes that all waiting requests stay and that
 # the demand of others lasts. docs/design/scheduling.md names the run that decided it.
--- a/packages/buckthornwall/src/buckthornwall/scheduling/engines.py
+++ b/packages/buckthornwall/src/buckthornwall/scheduling/engines.py
@@ -6,7 +6,7 @@
 
 from buckthornwall.utils import ClassId, GrantId, NodeId, TeamId, UpstreamId
 
-__all__ = ["EngineState", "Slot", "share_capacity", "reported_capacity"]
+__all__ = ["EngineState", "Slot", "reported_capacity", "share_capacity"]
 
 INITIAL_BACKOFF_S = 0.5
 MAX_BACKOFF_S = 8.0
--- a/packages/buckthornwall/src/buckthornwall/scheduling/share_leases.py
+++ b/packages/buckthornwall/src/buckthornwall/scheduling/share_leases.py
@@ -16,7 +16,7 @@
 
 from .settings import SchedulingSettings
 
-__all__ = ["ShareLeaseManager", "ShareLease"]
+__all__ = ["ShareLease", "ShareLeaseManager"]
 
 
 @dataclass
