--- a/packages/buckthornwall-ctl/src/buckthornwall_ctl/__init__.py
+++ b/packages/buckthornwall-ctl/src/buckthornwall_ctl/__init__.py
@@ -1,1 +1,1 @@
-"""Operators' command line: check what is to be published, watch the fleet."""
+"""Command line for operators: check files before publication, watch the fleet, read logs."""
--- a/packages/buckthornwall-ctl/src/buckthornwall_ctl/checks.py
+++ b/packages/buckthornwall-ctl/src/buckthornwall_ctl/checks.py
@@ -1,4 +1,4 @@
-"""Checks of settings and records before they are put to use."""
+"""Checks of settings and records before they are deployed or published."""
 
 from pathlib import Path
 
@@ -15,7 +15,7 @@
 
 
 def check_settings(path: Path) -> list[str]:
-    """Check a settings file; return what it says of itself.
+    """Check a settings file; return a line with its instance and zone.
 
     Raises
     ------
@@ -29,19 +29,19 @@
 
 
 def check_records(path: Path, against: str | None) -> list[str]:
-    """Check a set of records, also against those in force at an instance.
+    """Check a set of records, optionally against those in force at an instance.
 
     Parameters
     ----------
     path
         File with the set as it would be published.
     against
-        Operators' address of an instance, if given.
+        Operator address of an instance, or None.
 
     Raises
     ------
     RecordError
-        With the path of the bad field, or if the set would not be adopted.
+        If a field is invalid (with its path), or if the set would not be adopted.
     """
     try:
         raw = path.read_bytes()
@@ -49,18 +49,20 @@
         raise RecordError(ResultCode.RECORDS_MALFORMED, str(error)) from error
     view = parse_records(raw)
     lines = [f"ok: number {view.number}, digest {view.digest}"]
-    lines += [f"refused alone: {code.number} {detail}" for code, detail in view.refused]
+    lines += [
+        f"refused record: {code.number} {detail}" for code, detail in view.refused
+    ]
     if against is not None:
         in_force = parse_records(read_raw(against, "/records"))
         if view.number <= in_force.number:
-            detail = f"{view.number} is not over {in_force.number}, which is in force"
+            detail = f"{view.number} is not greater than {in_force.number}, which is in force"
             raise RecordError(ResultCode.RECORDS_OLDER, detail)
         lines += describe_change(in_force, view)
     return lines
 
 
 def describe_change(old: RecordView, new: RecordView) -> list[str]:
-    """Return a line for each record that appears, changes or goes."""
+    """Return a line for each record that is added, removed or changed."""
     lines = []
     for kind in RECORD_KINDS:
         before, after = old.table(kind), new.table(kind)
--- a/packages/buckthornwall-ctl/src/buckthornwall_ctl/client.py
+++ b/packages/buckthornwall-ctl/src/buckthornwall_ctl/client.py
@@ -1,4 +1,4 @@
-"""Reads of the operators' listeners."""
+"""HTTP requests to the operator listeners of instances."""
 
 from typing import Any
 
@@ -12,12 +12,12 @@
 
 
 def read_raw(address: str, path: str) -> bytes:
-    """Return what an instance serves to operators.
+    """Return the body that an instance serves at an operator path.
 
     Raises
     ------
     PeerError
-        If it cannot be read.
+        If the instance cannot be reached.
     """
     limits = {"connect": TIMEOUT_S, "read": TIMEOUT_S}
     try:
@@ -37,12 +37,12 @@
 
 
 def read_json(address: str, path: str) -> Any:
-    """Return the JSON that an instance serves to operators.
+    """Return the decoded JSON that an instance serves at an operator path.
 
     Raises
     ------
     PeerError
-        If it cannot be read or is not JSON.
+        If the instance cannot be reached or the body is not JSON.
     """
     try:
         return msgspec.json.decode(read_raw(address, path))
--- a/packages/buckthornwall-ctl/src/buckthornwall_ctl/config_lag.py
+++ b/packages/buckthornwall-ctl/src/buckthornwall_ctl/config_lag.py
@@ -1,7 +1,7 @@
-"""How long instances were behind the newest configuration, from their logs.
+"""Configuration lag of instances, from their logs.
 
-An instance is behind from the moment at which any other adopted a newer version until
-it adopts one itself. One that stops is left out until it has started again.
+An instance lags from the moment at which any instance adopts a newer version until it
+adopts a newer one itself. A stopped instance is ignored until it adopts a version again.
 """
 
 from dataclasses import dataclass
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True)
 class ConfigLag:
-    """One instance kept `number` for so long after a newer version was there."""
+    """How long an instance kept version `number` after a newer one was adopted."""
 
     duration: timedelta
     node: str
@@ -27,7 +27,7 @@
 
 
 def find_config_lags(lines: list[LogLine]) -> list[ConfigLag]:
-    """Return the longest time behind of each instance, the longest first."""
+    """Return the longest lag of each instance, in descending order."""
     lines = sorted(lines, key=lambda line: line.at)
     first_adopted_at = _first_adoptions(lines)
     longest: dict[str, ConfigLag] = {}
@@ -57,7 +57,7 @@
 
 
 def _first_adoptions(lines: list[LogLine]) -> list[tuple[int, datetime]]:
-    """Return when each version was first in force anywhere, by number."""
+    """Return when any instance first adopted each version, sorted by number."""
     first: dict[int, datetime] = {}
     for line in lines:
         if line.event == "config_adopted":
@@ -71,7 +71,7 @@
     adopted: int | None,
     first_adopted_at: list[tuple[int, datetime]],
 ) -> ConfigLag | None:
-    """Return for how long `current` was old until a line; None if it was not."""
+    """Return the lag of version `current` at a line; None if it was the newest."""
     if current is None:
         return None
     newer = [at for number, at in first_adopted_at if number > current and at < line.at]
@@ -90,7 +90,7 @@
 
 
 def format_config_lags(paths: list[Path]) -> list[str]:
-    """Return a line an instance, the one that was behind for longest first.
+    """Return a line for each instance, the longest lag first.
 
     Raises
     ------
--- a/packages/buckthornwall-ctl/src/buckthornwall_ctl/fleet_status.py
+++ b/packages/buckthornwall-ctl/src/buckthornwall_ctl/fleet_status.py
@@ -1,4 +1,4 @@
-"""What the fleet looks like, as text."""
+"""Status table of a fleet."""
 
 from typing import Any
 
@@ -34,7 +34,7 @@
 
 
 def format_fleet_status(addresses: list[str]) -> tuple[list[str], int]:
-    """Read every instance; return a table and how many could not be read."""
+    """Read every instance; return a table and the number that could not be read."""
     lines = [HEADER]
     failed = 0
     numbers = set()
@@ -52,11 +52,11 @@
         numbers.add((status["records"]["number"], status["records"]["digest"]))
         lines.append(_format_instance(status))
         lines += [
-            f"  refused alone: {code} {detail}"
+            f"  refused record: {code} {detail}"
             for code, detail in status["records"]["refused"]
         ]
         if status["records"]["last_error"]:
-            lines.append(f"  last set refused: {status['records']['last_error']}")
+            lines.append(f"  last refused set: {status['records']['last_error']}")
     if len(numbers) > 1:
         lines.append(f"records differ: {sorted(numbers)}")
     return lines, failed
--- a/packages/buckthornwall-ctl/src/buckthornwall_ctl/load.py
+++ b/packages/buckthornwall-ctl/src/buckthornwall_ctl/load.py
@@ -1,7 +1,8 @@
-"""How loaded a fleet was, from its logs: by second, by engine and by instance.
+"""Load of a fleet, from its logs: by second, by engine and by instance.
 
-An engine is overfilled where much is unread before the requests that are placed there.
-An instance decides by old word where its requests wait longer than it expected.
+Many pending prefill tokens ahead of the requests placed on an engine mean that it is
+overloaded. Requests of an instance that wait longer than it predicted mean that it
+decided on stale reports.
 """
 
 from collections.abc import Iterable
@@ -21,13 +22,13 @@
 ]
 
 OVERLOADED = "2001"
-# Engines and instances that are shown, the worst first.
+# Of engines and of instances, the worst first.
 MAX_ROWS = 10
 
 
 @dataclass
 class SecondStats:
-    """What was seen within one second; waits in ms."""
+    """Requests within one second; times to first token in ms."""
 
     placed: int = 0
     refused: int = 0
@@ -38,7 +39,7 @@
 
 @dataclass
 class EngineLoad:
-    """What was placed at one engine; the most that was known to wait there."""
+    """Requests placed on one engine, and the maximum load known when placing them."""
 
     placed: int = 0
     max_pending_prefill: int = 0
@@ -47,16 +48,18 @@
 
 @dataclass
 class FleetLoad:
-    """All of it.
+    """Load of a fleet.
 
     Attributes
     ----------
+    started_at : datetime
+        Time of the first line.
     seconds : dict
         By seconds since the first line.
     engines : dict
-        By engine.
+        By id of engine.
     prediction_errors_ms : dict
-        By instance, how much later first tokens came than expected, in ms.
+        By instance, observed minus predicted time to first token, in ms.
     """
 
     started_at: datetime
@@ -65,13 +68,13 @@
     prediction_errors_ms: dict[str, list[float]] = field(default_factory=dict)
 
     def second(self, at: datetime) -> SecondStats:
-        """Return the second that a time falls into."""
+        """Return the statistics of the second that a time falls into."""
         index = int((at - self.started_at).total_seconds())
         return self.seconds.setdefault(index, SecondStats())
 
 
 def summarize_load(lines: Iterable[LogLine]) -> FleetLoad | None:
-    """Return what the lines of instances show, or None without any."""
+    """Return the load that log lines show, or None if there are no lines."""
     lines = sorted(lines, key=lambda line: line.at)
     if not lines:
         return None
@@ -113,7 +116,7 @@
 
 
 def format_load(load: FleetLoad) -> list[str]:
-    """Return a table of seconds, the fullest engines, the worst predictions."""
+    """Return tables of seconds, the most loaded engines and the worst predictions."""
     lines = ["second  placed  refused  expected p50 ms  seen p50 ms  instances overdue"]
     for index, second in sorted(load.seconds.items()):
         lines.append(
@@ -142,7 +145,7 @@
 
 
 def load_from_logs(paths: list[Path]) -> FleetLoad | None:
-    """Return what log files of instances show.
+    """Return the load that log files of instances show.
 
     Raises
     ------
--- a/packages/buckthornwall-ctl/src/buckthornwall_ctl/load_plot.py
+++ b/packages/buckthornwall-ctl/src/buckthornwall_ctl/load_plot.py
@@ -1,4 +1,4 @@
-"""A picture of a day: waits, refusals and old word over time."""
+"""Plot of waits, refusals and instances with overdue reports over time."""
 
 from pathlib import Path
 from statistics import median
@@ -7,7 +7,7 @@
 
 matplotlib.use("Agg")
 
-from matplotlib import pyplot as plt  # noqa: E402 - the backend comes first
+from matplotlib import pyplot as plt  # noqa: E402 - select the backend first
 
 from .load import FleetLoad  # noqa: E402
 
@@ -15,14 +15,14 @@
 
 
 def plot_load(load: FleetLoad, path: Path) -> None:
-    """Draw a panel each for waits, for requests and for instances of old word.
+    """Draw a panel each for waits, requests and instances with overdue reports.
 
     Parameters
     ----------
     load
-        What logs show.
+        Load from log files.
     path
-        The picture to write; its ending tells the form.
+        Image to write; its suffix selects the format.
     """
     indexes = sorted(load.seconds)
     seconds = [load.seconds[index] for index in indexes]
--- a/packages/buckthornwall-ctl/src/buckthornwall_ctl/log_lines.py
+++ b/packages/buckthornwall-ctl/src/buckthornwall_ctl/log_lines.py
@@ -1,4 +1,4 @@
-"""Lines of instances' logs, as their fields."""
+"""Log lines of instances, parsed into fields."""
 
 import re
 from collections.abc import Iterable
@@ -16,23 +16,23 @@
 
 @dataclass(frozen=True)
 class LogLine:
-    """One event of an instance."""
+    """A logged event of an instance."""
 
     at: datetime
     fields: dict[str, str]
 
     @property
     def event(self) -> str:
-        """What happened."""
+        """Name of the event."""
         return self.fields["event"]
 
     @property
     def node(self) -> str:
-        """Where it happened."""
+        """Id of the instance."""
         return self.fields.get("node", "?")
 
     def format(self, start: datetime) -> str:
-        """Return the line as a part of a story that began at `start`."""
+        """Return the line as an entry of a timeline that begins at `start`."""
         offset_ms = (self.at - start).total_seconds() * 1000
         other_fields = " ".join(
             f"{key}={value}"
@@ -43,7 +43,7 @@
 
 
 def read_logs(paths: Iterable[Path]) -> Iterable[LogLine]:
-    """Return the lines that have a time and an event, file by file.
+    """Yield the lines that have a time and an event, file by file.
 
     Raises
     ------
--- a/packages/buckthornwall-ctl/src/buckthornwall_ctl/main.py
+++ b/packages/buckthornwall-ctl/src/buckthornwall_ctl/main.py
@@ -22,13 +22,13 @@
 EXIT_USAGE = 2
 EXIT_UNREACHABLE = 3
 EPILOG = (
-    "Exit status: 0 fine, 1 the check found a fault, 2 wrong usage, "
-    "3 an instance could not be read."
+    "Exit status: 0 success, 1 the check found an error, 2 wrong usage, "
+    "3 an instance could not be reached."
 )
 
 
 def build_parser() -> argparse.ArgumentParser:
-    """Return the parser of the command line."""
+    """Return the argument parser."""
     parser = argparse.ArgumentParser(
         prog="buckthornwallctl",
         description="Check settings and records, and watch a fleet.",
@@ -44,15 +44,17 @@
     records = commands.add_parser("check-records", help="check a set of records")
     records.add_argument("file", type=Path)
     records.add_argument(
-        "--against", metavar="IP:PORT", help="operators' address of an instance"
+        "--against", metavar="IP:PORT", help="operator address of an instance"
     )
     records.set_defaults(run=_check_records)
 
-    status = commands.add_parser("status", help="show the instances once")
+    status = commands.add_parser("status", help="show the status of instances once")
     status.add_argument("address", nargs="+", metavar="IP:PORT")
     status.set_defaults(run=_status)
 
-    watch = commands.add_parser("watch", help="show the instances again and again")
+    watch = commands.add_parser(
+        "watch", help="show the status of instances periodically"
+    )
     watch.add_argument("address", nargs="+", metavar="IP:PORT")
     watch.add_argument("--every", type=float, default=2.0, metavar="SECONDS")
     watch.add_argument(
@@ -61,32 +63,35 @@
     watch.set_defaults(run=_watch)
 
     explain = commands.add_parser(
-        "explain", help="explain a result code, or a request from log files"
+        "explain",
+        help="explain a result code, or show a request's timeline from log files",
+    )
+    explain.add_argument(
+        "what", help="number or name of a result code, or a request id"
     )
-    explain.add_argument("what", help="number or name of a code, or a request's id")
     explain.add_argument("log", nargs="*", type=Path, help="log files of instances")
     explain.set_defaults(run=_explain)
 
     behind = commands.add_parser(
         "behind",
-        help="show how long instances were behind the newest configuration",
+        help="show how long instances lagged behind the newest configuration",
     )
     behind.add_argument("log", nargs="+", type=Path, help="log files of instances")
     behind.set_defaults(run=_behind)
 
     load = commands.add_parser(
         "load",
-        help="show waits and refusals by second, full engines, late predictions",
+        help="show waits and refusals by second, the most loaded engines, wrong predictions",
     )
     load.add_argument("log", nargs="+", type=Path, help="log files of instances")
     load.add_argument(
-        "--plot", type=Path, metavar="FILE", help="draw a picture too (matplotlib)"
+        "--plot", type=Path, metavar="FILE", help="also draw a plot (needs matplotlib)"
     )
     load.set_defaults(run=_load)
 
     urgency = commands.add_parser(
         "urgency",
-        help="show when more urgent requests got nothing while less urgent ones began",
+        help="show when requests were unserved while less urgent ones were served",
     )
     urgency.add_argument("log", nargs="+", type=Path, help="log files of instances")
     urgency.set_defaults(run=_urgency)
@@ -129,7 +134,7 @@
             print(f"meaning: {code.meaning}")
             print(f"what to do: {code.action}")
             return EXIT_OK
-    print(f"no code {options.what}", file=sys.stderr)
+    print(f"unknown result code {options.what}", file=sys.stderr)
     return EXIT_REFUSED
 
 
@@ -154,7 +159,7 @@
         return EXIT_REFUSED
     print("\n".join(format_load(load)))
     if options.plot:
-        from .load_plot import plot_load  # noqa: PLC0415 - only here is it needed
+        from .load_plot import plot_load  # noqa: PLC0415 - only needed here
 
         plot_load(load, options.plot)
     return EXIT_OK
--- a/packages/buckthornwall-ctl/src/buckthornwall_ctl/priority_inversion.py
+++ b/packages/buckthornwall-ctl/src/buckthornwall_ctl/priority_inversion.py
@@ -1,6 +1,7 @@
-"""When more urgent requests got nothing while less urgent ones began, from logs.
+"""Priority inversions, from logs.
 
-Each attempt of a caller counts by itself, in the window in which its end was logged.
+In an inversion more urgent requests are unserved while less urgent ones are served.
+Each attempt of a client counts separately, in the window in which its end was logged.
 """
 
 from collections import Counter
@@ -18,10 +19,10 @@
 
 @dataclass
 class TierWindow:
-    """What became of one pool's requests of one tier within a window.
+    """Outcomes of one pool's requests of one tier within a window.
 
-    `unserved` counts by reason those that got no part of an answer; `served` those that
-    got some.
+    `served` counts requests that received at least part of a response, `unserved` those
+    that received none, by result code or outcome.
     """
 
     served: int = 0
@@ -29,7 +30,7 @@
 
     @property
     def unserved_share(self) -> float:
-        """The share of its requests that got nothing."""
+        """Fraction of the requests that received no response."""
         unserved_total = self.unserved.total()
         return unserved_total / max(1, unserved_total + self.served)
 
@@ -39,7 +40,7 @@
 
 
 def count_by_window(lines: Iterable[LogLine]) -> Windows:
-    """Return what became of requests that reached a pool."""
+    """Return the outcomes of the requests that reached a pool."""
     lines = [
         line for line in lines if line.event in END_EVENTS and line.fields.get("pool")
     ]
@@ -60,7 +61,7 @@
 
 
 def _served_less_urgent(windows: Windows, key: tuple[int, str, int]) -> int:
-    """Return how many less urgent requests of the pool began in the window."""
+    """Return how many less urgent requests of the pool were served in the window."""
     index, pool, tier = key
     return sum(
         window.served
@@ -70,7 +71,7 @@
 
 
 def format_inversions(paths: list[Path]) -> list[str]:
-    """Return a line for each window in which a tier got less than one below it.
+    """Return a line for each window and tier with a priority inversion.
 
     Raises
     ------
@@ -91,5 +92,5 @@
             f"{less_urgent:17d}  {why}"
         )
     if len(lines) == 1:
-        return ["no request got nothing while less urgent ones began"]
+        return ["no request was unserved while less urgent ones were served"]
     return lines
--- a/packages/buckthornwall-ctl/src/buckthornwall_ctl/request_timeline.py
+++ b/packages/buckthornwall-ctl/src/buckthornwall_ctl/request_timeline.py
@@ -1,4 +1,4 @@
-"""The timeline of one request, from the logs of all instances."""
+"""Timeline of one request, from the logs of all instances."""
 
 from pathlib import Path
 
@@ -8,7 +8,7 @@
 
 __all__ = ["request_timeline"]
 
-# What an instance believed matters only this long before a request came in.
+# How long before the request's first line context events are shown.
 CONTEXT_WINDOW_S = 5.0
 CONTEXT_EVENTS = frozenset(
     {
@@ -27,25 +27,25 @@
 )
 
 
-# What was found of the same request matters whenever and wherever it was.
+# Shown for the request's fingerprint, from any instance and however long before.
 QUARANTINE_EVENTS = frozenset(
     {"request_suspected", "request_quarantined", "quarantine_lifted"}
 )
 
 
 def request_timeline(request: str, paths: list[Path]) -> list[str]:
-    """Return what the logs tell of a request, in order over all instances.
+    """Return the log lines of a request from all instances, in order of time.
 
-    What its instances came to believe of its upstreams, of the store or of the
-    configuration in the five seconds before stands between, and what any instance found
-    of the same request.
+    Changes in what its instances knew of its upstreams, of the store or of the
+    configuration, from five seconds before the request on, are included, and quarantine
+    events of the same fingerprint from any instance.
 
     Parameters
     ----------
     request
-        The request's id.
+        Id of the request.
     paths
-        Log files, of any number of instances.
+        Log files of any number of instances.
 
     Raises
     ------
@@ -90,7 +90,7 @@
 
 
 def _explain_last_code(request_lines: list[LogLine]) -> list[str]:
-    """Return what the last code of a request means."""
+    """Return the meaning of the last result code of a request."""
     codes = [line.fields["code"] for line in request_lines if "code" in line.fields]
     for code in ResultCode:
         if codes and str(code.number) == codes[-1]:
--- a/packages/buckthornwall-ctl/src/buckthornwall_ctl/router_status.py
+++ b/packages/buckthornwall-ctl/src/buckthornwall_ctl/router_status.py
@@ -1,4 +1,4 @@
-"""What an instance behind a balancer looks like, as text."""
+"""Status lines of an instance behind a load balancer."""
 
 from typing import Any
 
@@ -6,12 +6,12 @@
 
 
 def is_router(status: dict[str, Any]) -> bool:
-    """Tell whether a status is that of an instance behind a balancer."""
+    """Return whether a status is that of an instance behind a load balancer."""
     return "fleet" in status
 
 
 def format_router_status(status: dict[str, Any]) -> list[str]:
-    """Return a line of the instance, and what keeps requests from upstreams."""
+    """Return a line for the instance, and lines for what excludes upstreams."""
     upstreams = status["upstreams"].values()
     in_use = sum(1 for each in upstreams if not each["aside"])
     lines = [
