--- a/packages/buckthornwall-standins/src/buckthornwall_standins/pool_sim/simulation.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/pool_sim/simulation.py
@@ -16,7 +16,7 @@
 from buckthornwall.routing import PromptSegment, PromptShape
 from buckthornwall.utils import ModelId, UpstreamId
 
-from buckthornwall_standins.tiers import Attempted
+from buckthornwall_standins.tiers import RequestAttempt
 
 from .engine import EngineSpeed, SimEngine
 from .instance import SimInstance
@@ -143,15 +143,15 @@
         own = self.of(name)
         return sum(each.credit for each in own) / len(own)
 
-    def attempts(self) -> Iterable[Attempted]:
+    def attempts(self) -> Iterable[RequestAttempt]:
         """Return every attempt: refused ones, and the last of each request."""
         for each in self.requests:
             name, tier = each.traffic.name, each.traffic.tier
             tokens = each.prompt.prompt_tokens
             for at in each.refused_at:
-                yield Attempted(name, tier, tokens, at, None)
+                yield RequestAttempt(name, tier, tokens, at, None)
             if not each.refused:
-                yield Attempted(name, tier, tokens, each.asked_at, each.first_at)
+                yield RequestAttempt(name, tier, tokens, each.asked_at, each.first_at)
 
     def of(self, name: str) -> list[SimRequest]:
         """Return a route's requests."""
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/tests/test_tier_soak.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/tests/test_tier_soak.py
@@ -21,4 +21,4 @@
     soak = TierSoak(RunSettings(1, 16.0, 7860, tmp_path, 24), engines=8)
     trio.run(soak.run)
     assert [str(each) for each in find_inversions(soak.attempts)] == []
-    assert sum(each.begun_at is not None for each in soak.attempts) > 200
+    assert sum(each.first_event_at is not None for each in soak.attempts) > 200
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/tier_soak.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/tier_soak.py
@@ -13,7 +13,7 @@
 from buckthornwall.http1 import ClientConnection, ExchangeError
 
 from .soak_run import RunSettings, SoakRun, play_seeds, soak_parser
-from .tiers import Attempted, find_inversions
+from .tiers import RequestAttempt, find_inversions
 from .users_platform import Engine
 from .users_platform.deployment import DRAFTS, HOST, KEY, route
 from .users_platform.wire import call_headers
@@ -74,7 +74,7 @@
     def __init__(self, settings: RunSettings, engines: int) -> None:
         super().__init__(settings)
         self.engines = [Engine(f"e{number}") for number in range(1, engines + 1)]
-        self.attempts: list[Attempted] = []
+        self.attempts: list[RequestAttempt] = []
         self._began = 0.0
 
     async def start_upstreams(self, nursery: trio.Nursery) -> None:
@@ -134,7 +134,7 @@
         at = self._now()
         begun_at, end = await self._exchange(kind, instance, headers)
         self.statuses[kind.name, end] += 1
-        self.attempts.append(Attempted(kind.name, kind.tier, tokens, at, begun_at))
+        self.attempts.append(RequestAttempt(kind.name, kind.tier, tokens, at, begun_at))
 
     async def _exchange(
         self, kind: Kind, instance: int, headers: list[tuple[bytes, bytes]]
