--- a/packages/buckthornwall-ctl/src/buckthornwall_ctl/__init__.py
+++ b/packages/buckthornwall-ctl/src/buckthornwall_ctl/__init__.py
@@ -1,1 +1,1 @@
-"""Command line for operators: check files before publication, watch the fleet, read logs."""
+"""Command line for operators: check files, watch the fleet, read logs."""
--- a/packages/buckthornwall-ctl/src/buckthornwall_ctl/checks.py
+++ b/packages/buckthornwall-ctl/src/buckthornwall_ctl/checks.py
@@ -55,7 +55,7 @@
     if against is not None:
         in_force = parse_records(read_raw(against, "/records"))
         if view.number <= in_force.number:
-            detail = f"{view.number} is not greater than {in_force.number}, which is in force"
+            detail = f"{view.number} is not above {in_force.number}, which is in force"
             raise RecordError(ResultCode.RECORDS_OLDER, detail)
         lines += describe_change(in_force, view)
     return lines
--- a/packages/buckthornwall-ctl/src/buckthornwall_ctl/config_lag.py
+++ b/packages/buckthornwall-ctl/src/buckthornwall_ctl/config_lag.py
@@ -1,7 +1,7 @@
 """Configuration lag of instances, from their logs.
 
 An instance lags from the moment at which any instance adopts a newer version until it
-adopts a newer one itself. A stopped instance is ignored until it adopts a version again.
+adopts a newer one itself. A stopped instance is ignored until it adopts a version.
 """
 
 from dataclasses import dataclass
--- a/packages/buckthornwall-ctl/src/buckthornwall_ctl/main.py
+++ b/packages/buckthornwall-ctl/src/buckthornwall_ctl/main.py
@@ -81,7 +81,7 @@
 
     load = commands.add_parser(
         "load",
-        help="show waits and refusals by second, the most loaded engines, wrong predictions",
+        help="show waits and refusals by second, busiest engines, prediction errors",
     )
     load.add_argument("log", nargs="+", type=Path, help="log files of instances")
     load.add_argument(
