--- a/packages/buckthornwall-ctl/src/buckthornwall_ctl/tests/test_config_lag.py
+++ b/packages/buckthornwall-ctl/src/buckthornwall_ctl/tests/test_config_lag.py
@@ -1,4 +1,4 @@
-"""Tests of how long instances were behind, as their logs tell."""
+"""Tests of the configuration lag of instances, from logs."""
 
 import pytest
 
@@ -6,9 +6,9 @@
 
 
 def line(second: float, node: str, event: str, **pairs) -> str:
-    rest = "".join(f" {key}={value}" for key, value in pairs.items())
-    moment = f"2026-01-01T00:00:{second:06.3f}+00:00"
-    return f"time={moment} level=INFO node={node} event={event}{rest}\n"
+    fields = "".join(f" {key}={value}" for key, value in pairs.items())
+    timestamp = f"2026-01-01T00:00:{second:06.3f}+00:00"
+    return f"time={timestamp} level=INFO node={node} event={event}{fields}\n"
 
 
 def adopted(second: float, node: str, number: int) -> str:
@@ -16,8 +16,8 @@
 
 
 @pytest.fixture
-def behind(tmp_path, capsys):
-    def behind(*lines: str) -> list[str]:
+def run_behind(tmp_path, capsys):
+    def run_behind(*lines: str) -> list[str]:
         path = tmp_path / "log"
         path.write_text("".join(lines))
         assert main(["behind", str(path)]) == 0
@@ -25,11 +25,11 @@
             " ".join(each.split()[:5]) for each in capsys.readouterr().out.splitlines()
         ]
 
-    return behind
+    return run_behind
 
 
-def test_who_adopts_later_was_behind_from_the_first_adoption_of_anything_newer(behind):
-    assert behind(
+def test_lag_starts_at_first_adoption_of_any_newer_version(run_behind):
+    assert run_behind(
         adopted(1, "a", 4),
         adopted(1, "b", 4),
         adopted(2, "a", 6),
@@ -38,14 +38,14 @@
     ) == ["2500 ms b kept=4 adopted=8"]
 
 
-def test_who_never_adopts_is_behind_until_the_last_line(behind):
-    assert behind(
+def test_instance_that_never_adopts_lags_until_last_line(run_behind):
+    assert run_behind(
         adopted(1, "a", 4), adopted(1, "b", 4), adopted(2, "a", 6), line(5, "a", "any")
     ) == ["3000 ms b kept=4 adopted=none"]
 
 
-def test_who_stops_is_left_out_until_it_has_a_version_again(behind):
-    assert behind(
+def test_stopped_instance_is_ignored_until_it_adopts_a_version(run_behind):
+    assert run_behind(
         adopted(1, "a", 4),
         adopted(1, "b", 4),
         line(1.5, "b", "stopping"),
@@ -55,6 +55,6 @@
     ) == ["no instance was behind another"]
 
 
-def test_a_file_that_is_not_there_has_a_code(tmp_path, capsys):
+def test_missing_log_file_is_reported_with_code(tmp_path, capsys):
     assert main(["behind", str(tmp_path / "none")]) == 1
     assert "6004" in capsys.readouterr().err
--- a/packages/buckthornwall-ctl/src/buckthornwall_ctl/tests/test_ctl.py
+++ b/packages/buckthornwall-ctl/src/buckthornwall_ctl/tests/test_ctl.py
@@ -1,4 +1,4 @@
-"""Tests of the operators' commands."""
+"""Tests of the operator commands."""
 
 import msgspec
 import pytest
@@ -30,12 +30,12 @@
     return str(path)
 
 
-def test_good_settings_pass(tmp_path, capsys):
+def test_valid_settings_pass(tmp_path, capsys):
     assert main(["check-settings", write(tmp_path, "a.ini", SETTINGS)]) == 0
     assert "n1" in capsys.readouterr().out
 
 
-def test_bad_settings_name_file_section_and_key(tmp_path, capsys):
+def test_invalid_settings_name_file_section_and_key(tmp_path, capsys):
     text = SETTINGS.replace("zone = z", "zone = z\ncolour = red")
     assert main(["check-settings", write(tmp_path, "a.ini", text)]) == 1
     error = capsys.readouterr().err
@@ -43,14 +43,14 @@
     assert "a.ini [node] colour" in error
 
 
-def test_a_missing_file_has_a_code(tmp_path, capsys):
+def test_missing_file_is_reported_with_code(tmp_path, capsys):
     assert main(["check-settings", str(tmp_path / "none")]) == 1
     assert "6004" in capsys.readouterr().err
     assert main(["check-records", str(tmp_path / "none")]) == 1
     assert "5005" in capsys.readouterr().err
 
 
-def test_good_and_bad_records(tmp_path, capsys):
+def test_valid_records_pass_and_invalid_name_the_field(tmp_path, capsys):
     good = msgspec.json.encode(make_records(4)).decode()
     assert main(["check-records", write(tmp_path, "good.json", good)]) == 0
     assert "number 4" in capsys.readouterr().out
@@ -59,13 +59,13 @@
     assert "$.tier" in capsys.readouterr().err
 
 
-def test_records_against_an_instance_that_is_not_there(tmp_path, capsys):
+def test_unreachable_instance_exits_with_3(tmp_path, capsys):
     good = msgspec.json.encode(make_records(4)).decode()
     path = write(tmp_path, "good.json", good)
     assert main(["check-records", path, "--against", "127.0.0.1:1"]) == 3
 
 
-def test_changes_are_listed():
+def test_changed_records_are_listed():
     old = parse_records(msgspec.json.encode(make_records(1)))
     changed = make_records(2, low={"weight": 5})
     changed["records"] = [each for each in changed["records"] if each["id"] != "e2"]
@@ -75,12 +75,12 @@
 
 
 @pytest.mark.parametrize("word", ["2001", "overloaded"])
-def test_explain(word, capsys):
+def test_explain_result_code(word, capsys):
     assert main(["explain", word]) == 0
     assert "2001 OVERLOADED (HTTP 429)" in capsys.readouterr().out
 
 
-def test_explain_an_unknown_code(capsys):
+def test_explain_unknown_code_exits_with_1(capsys):
     assert main(["explain", "9999"]) == 1
 
 
@@ -90,7 +90,7 @@
     assert caught.value.code == 2
 
 
-STORY = """\
+REQUEST_LOG = """\
    1.0 a time=2026-01-01T00:00:01.000+00:00 level=INFO node=a event=config_adopted \
 number=4
 time=2026-01-01T00:00:02.100+00:00 level=WARNING node=b event=request_refused \
@@ -106,8 +106,8 @@
 """
 
 
-def test_a_request_is_told_in_order_with_what_was_believed(tmp_path, capsys):
-    log = write(tmp_path, "log", STORY)
+def test_request_timeline_is_ordered_and_includes_context_events(tmp_path, capsys):
+    log = write(tmp_path, "log", REQUEST_LOG)
     assert main(["explain", "r1", str(log)]) == 0
     lines = capsys.readouterr().out.splitlines()
     events = [line.split()[3] for line in lines[:4]]
@@ -121,7 +121,7 @@
     assert lines[4].startswith("3002 UPSTREAM_BROKEN")
 
 
-CRASHES = """\
+QUARANTINE_LOG = """\
 time=2026-01-01T00:00:01.000+00:00 level=WARNING node=b event=request_suspected \
 fingerprint=0a crashes=3
 time=2026-01-01T00:00:01.100+00:00 level=WARNING node=b event=request_suspected \
@@ -131,16 +131,16 @@
 """
 
 
-def test_what_was_found_of_the_same_request_stands_before_its_refusal(tmp_path, capsys):
-    assert main(["explain", "r1", str(write(tmp_path, "log", CRASHES))]) == 0
+def test_quarantine_events_of_same_fingerprint_precede_refusal(tmp_path, capsys):
+    assert main(["explain", "r1", str(write(tmp_path, "log", QUARANTINE_LOG))]) == 0
     lines = capsys.readouterr().out.splitlines()
     events = [line.split()[3] for line in lines[:-1]]
     assert events == ["request_suspected", "request_refused"]
     assert lines[-1].startswith("2007 REQUEST_QUARANTINED")
 
 
-def test_a_request_that_no_log_knows_is_said(tmp_path, capsys):
-    assert main(["explain", "nobody", str(write(tmp_path, "log", STORY))]) == 1
+def test_request_without_log_lines_is_reported(tmp_path, capsys):
+    assert main(["explain", "nobody", str(write(tmp_path, "log", REQUEST_LOG))]) == 1
     assert "no line of request" in capsys.readouterr().err
 
 
@@ -168,7 +168,7 @@
         ("[store]", "[stop]\ngrace_s = 1\n[store]", "6002"),
     ],
 )
-def test_settings_behind_the_balancer_are_checked(tmp_path, capsys, old, new, code):
+def test_router_settings_are_checked(tmp_path, capsys, old, new, code):
     good = write(tmp_path, "good", ROUTER_SETTINGS)
     assert main(["check-settings", str(good)]) == 0
     bad = write(tmp_path, "bad", ROUTER_SETTINGS.replace(old, new))
--- a/packages/buckthornwall-ctl/src/buckthornwall_ctl/tests/test_load.py
+++ b/packages/buckthornwall-ctl/src/buckthornwall_ctl/tests/test_load.py
@@ -1,4 +1,4 @@
-"""Tests of what logs show of a fleet's load."""
+"""Tests of a fleet's load, from logs."""
 
 import pytest
 
@@ -15,7 +15,7 @@
     "time=2026-01-01T00:00:{at:06.3f}+00:00 level=INFO node={node} "
     "event=request_finished request={request} outcome=answered first_ms={first}\n"
 )
-OTHERS = (
+REFUSED_AND_OVERDUE = (
     "time=2026-01-01T00:00:02.100+00:00 level=WARNING node=b event=request_refused "
     "request=r9 code=2001 status=429\n"
     "time=2026-01-01T00:00:02.200+00:00 level=WARNING node=b event=request_refused "
@@ -36,7 +36,7 @@
     text += FINISHED.format(at=0.5, node="a", request="r1", first=120)
     text += FINISHED.format(at=2.9, node="b", request="r2", first=900)
     path = tmp_path / "log"
-    path.write_text(text + OTHERS)
+    path.write_text(text + REFUSED_AND_OVERDUE)
     return path
 
 
@@ -47,21 +47,21 @@
     assert (third.placed, third.refused, third.overdue_instances) == (1, 1, {"b"})
 
 
-def test_the_fullest_engine_and_the_worst_prediction_come_first(log):
+def test_most_loaded_engine_and_worst_prediction_come_first(log):
     lines = format_load(summarize_load(read_logs([log])))
     engines = lines.index("engine  placed  most unread before  most in flight")
     assert lines[engines + 1] == "e2  1  70000  3"
     assert lines[-2:] == ["b  1  700", "a  1  20"]
 
 
-def test_the_command_prints_and_draws(log, tmp_path, capsys):
-    picture = tmp_path / "day.png"
-    assert main(["load", str(log), "--plot", str(picture)]) == 0
+def test_load_prints_tables_and_writes_plot(log, tmp_path, capsys):
+    plot = tmp_path / "day.png"
+    assert main(["load", str(log), "--plot", str(plot)]) == 0
     assert "instances overdue" in capsys.readouterr().out
-    assert picture.read_bytes().startswith(b"\x89PNG")
+    assert plot.read_bytes().startswith(b"\x89PNG")
 
 
-def test_logs_without_a_line_are_said_to_be_so(tmp_path, capsys):
+def test_empty_log_is_reported(tmp_path, capsys):
     empty = tmp_path / "log"
     empty.write_text("")
     assert main(["load", str(empty)]) == 1
--- a/packages/buckthornwall-ctl/src/buckthornwall_ctl/tests/test_priority_inversion.py
+++ b/packages/buckthornwall-ctl/src/buckthornwall_ctl/tests/test_priority_inversion.py
@@ -1,4 +1,4 @@
-"""Tests of what logs show of more urgent requests that got nothing."""
+"""Tests of priority inversions, from logs."""
 
 import pytest
 
@@ -36,7 +36,7 @@
     assert windows[1, "p", 2].unserved == {"2001": 1}
 
 
-def test_only_windows_in_which_less_urgent_ones_began_are_shown(log, capsys):
+def test_only_windows_with_less_urgent_requests_served_are_shown(log, capsys):
     assert main(["urgency", str(log)]) == 0
     shown = capsys.readouterr().out.splitlines()[1:]
     assert len(shown) == 1
@@ -44,7 +44,7 @@
     assert shown[0].endswith("2001=1")
 
 
-def test_logs_without_such_a_window_are_said_to_be_so(tmp_path, capsys):
+def test_logs_without_inversion_are_reported(tmp_path, capsys):
     empty = tmp_path / "log"
     empty.write_text("")
     assert main(["urgency", str(empty)]) == 0
--- a/packages/buckthornwall-ctl/src/buckthornwall_ctl/tests/test_router_status.py
+++ b/packages/buckthornwall-ctl/src/buckthornwall_ctl/tests/test_router_status.py
@@ -1,4 +1,4 @@
-"""Tests of what operators see of instances behind a balancer."""
+"""Tests of the status lines of instances behind a load balancer."""
 
 from buckthornwall_ctl.router_status import format_router_status, is_router
 
@@ -15,13 +15,13 @@
 }
 
 
-def test_an_evacuated_zone_is_shown_below_its_instance():
+def test_evacuated_zone_is_shown_below_instance():
     first, second = format_router_status(STATUS)
     assert first.split() == ["front-1", "ready", "7", "3", "1", "of", "2", "upstreams"]
     assert second == "  evacuated: north since revision 41"
 
 
-def test_cold_upstreams_and_those_outside_of_all_regions_are_shown():
+def test_cold_upstreams_and_zones_in_no_region_are_shown():
     upstreams = {
         "a": UPSTREAM | {"cold_s": 1.5},
         "b": UPSTREAM | {"zone": "lost"},
@@ -30,6 +30,6 @@
     assert lines[1:] == ["  cold: a", "  in no region: lost"]
 
 
-def test_the_two_kinds_of_instances_are_told_apart():
+def test_router_status_is_distinguished_from_gateway_status():
     assert is_router(STATUS)
     assert not is_router({"records": {}})
--- a/packages/buckthornwall/src/buckthornwall/gateway/tests/test_completions.py
+++ b/packages/buckthornwall/src/buckthornwall/gateway/tests/test_completions.py
@@ -1,4 +1,4 @@
-"""Tests of the attempts at a completion, and of the checks of its body."""
+"""Tests of attempts of completions and of request body checks."""
 
 import msgspec
 import pytest
@@ -33,7 +33,7 @@
 
 @pytest.fixture
 def run(job, store):
-    """Return a function that makes attempts which fail in the given ways."""
+    """Return a function that runs a job whose attempts fail with the given errors."""
 
     async def run(*failures, retries=10):
         handler = CompletionHandler(
@@ -49,14 +49,14 @@
             0.0,
             None,
         )
-        left = list(failures)
+        remaining_failures = list(failures)
 
         async def acquire_slot(job, excluded):
             return HeldSlot(1, "e1", None, "a", False, 0.0)
 
         async def attempt(job, slot):
-            if left:
-                raise left.pop(0)
+            if remaining_failures:
+                raise remaining_failures.pop(0)
             job.response.finished = True
 
         handler._acquire_slot = acquire_slot
@@ -67,7 +67,7 @@
     return run
 
 
-async def test_a_failed_attempt_is_made_again(run):
+async def test_failed_attempt_is_retried(run):
     assert (await run(SENT, UNSENT)).response.finished
 
 
@@ -79,19 +79,21 @@
         ((UNSENT, SENT), Executed.UNKNOWN),
     ],
 )
-async def test_not_run_is_said_only_if_no_attempt_can_have_run(run, failures, expected):
+async def test_not_executed_is_reported_only_if_no_attempt_was_sent(
+    run, failures, expected
+):
     with pytest.raises(Refusal) as caught:
         await run(*failures, retries=1)
     assert caught.value.run is expected
 
 
-async def test_what_the_engine_rejects_is_not_tried_again(run):
+async def test_request_rejected_by_engine_is_not_retried(run):
     with pytest.raises(Refusal) as caught:
         await run(REJECTED)
     assert caught.value.code is ResultCode.UPSTREAM_REJECTED
 
 
-async def test_an_answer_that_cannot_be_resumed_is_not_started_over(run, job):
+async def test_response_that_cannot_be_resumed_is_not_restarted(run, job):
     job.body["n"] = 2
     job.response.tokens = 3
     with pytest.raises(Refusal) as caught:
@@ -99,7 +101,7 @@
     assert caught.value.run is Executed.YES
 
 
-def test_a_resumed_attempt_goes_on_from_what_was_delivered(job, store):
+def test_resumed_attempt_continues_received_text(job, store):
     handler = CompletionHandler(
         Admission(store), *[None] * 8, coalesce_s=0.0, on_engine_leaving=None
     )
@@ -127,7 +129,7 @@
 
 
 @given(json_bytes | st.binary(max_size=40), st.sampled_from([CHAT_PATH, "/x"]))
-def test_no_body_crashes_the_check(raw, path):
+def test_check_body_raises_only_refusals(raw, path):
     try:
         assert isinstance(check_body(path, raw)["model"], str)
     except Refusal as refusal:
--- a/packages/buckthornwall/src/buckthornwall/gateway/tests/test_http.py
+++ b/packages/buckthornwall/src/buckthornwall/gateway/tests/test_http.py
@@ -1,4 +1,4 @@
-"""Tests of one HTTP exchange over ASGI."""
+"""Tests of HTTP exchanges over ASGI."""
 
 import pytest
 import trio
@@ -12,8 +12,8 @@
     return Exchange(scope, None, send)
 
 
-async def test_a_refusal_after_a_failed_last_write_sends_nothing():
-    """A second end of one answer ended every connection of the server."""
+async def test_refusal_after_failed_final_write_sends_nothing():
+    """Ending a response twice ends every connection of the server."""
     sent = []
 
     async def send(message):
@@ -24,12 +24,12 @@
     exchange = exchange_over(send)
     with pytest.raises(trio.BrokenResourceError):
         await exchange.respond(200, b"whole")
-    before = len(sent)
+    sent_before = len(sent)
     await exchange.refuse(Refusal(ResultCode.UPSTREAM_BROKEN, "internal error"))
-    assert len(sent) == before
+    assert len(sent) == sent_before
 
 
-async def test_a_refusal_ends_a_stream_that_has_begun():
+async def test_refusal_ends_started_stream():
     sent = []
 
     async def send(message):
--- a/packages/buckthornwall/src/buckthornwall/upstreams/tests/test_upstreams.py
+++ b/packages/buckthornwall/src/buckthornwall/upstreams/tests/test_upstreams.py
@@ -1,4 +1,4 @@
-"""Tests of the retry budget and of reading server-sent events."""
+"""Tests of the retry budget and of parsing server-sent events."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -7,7 +7,7 @@
 from buckthornwall.upstreams.engine import extract_sse_events
 
 
-def test_retries_are_a_share_of_first_attempts():
+def test_retries_do_not_exceed_fraction_of_first_attempts():
     budget = RetryBudget(ratio=0.1, reserve=2)
     assert [budget.spend() for _ in range(3)] == [True, True, False]
     for _ in range(10):
@@ -19,7 +19,7 @@
     st.lists(st.text("ab{}: ", min_size=1, max_size=5), max_size=6),
     st.integers(1, 7),
 )
-def test_events_survive_any_division_into_parts(texts, size):
+def test_no_event_is_lost_however_the_stream_is_split(texts, size):
     events = [text.strip().encode() for text in texts]
     stream = b"".join(b"data: " + event + b"\n\n" for event in events)
     buffer = bytearray()
@@ -31,5 +31,5 @@
     assert not buffer
 
 
-def test_other_lines_are_passed_over():
+def test_sse_comments_are_skipped():
     assert extract_sse_events(bytearray(b": ping\n\ndata: x\n\n")) == [b"x"]
