--- a/packages/buckthornwall-standins/src/buckthornwall_standins/fleet.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/fleet.py
@@ -18,7 +18,7 @@
 
 from .deployments import Deployment, records_of
 from .engine import EngineModel
-from .listings import list_instance, list_upstream, record_upstream
+from .listings import make_instance_entry, make_upstream_entry, make_upstream_record
 from .processes import (
     CALLER_PORT,
     OPERATOR_PORT,
@@ -279,7 +279,7 @@
         """Return the records of the upstreams."""
         slots = self.engine_model.slots
         return [
-            record_upstream(each.id, each.kind, each.address, each.serves, slots)
+            make_upstream_record(each.id, each.kind, each.address, each.serves, slots)
             for each in self.upstreams
         ]
 
@@ -294,11 +294,13 @@
     async def publish_instances(self, leaving: tuple[str, ...] = ()) -> None:
         """Tell the platform which instances there are."""
         instances = [
-            list_instance(node.id, self.peer_address(node), node.zone, node.operators)
+            make_instance_entry(
+                node.id, self.peer_address(node), node.zone, node.operators
+            )
             for node in self.nodes
         ]
         instances += [
-            list_upstream(each.id, each.kind, each.address, each.id in leaving)
+            make_upstream_entry(each.id, each.kind, each.address, each.id in leaving)
             for each in self.upstreams
         ]
         await self.request(
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/known_red.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/known_red.py
@@ -6,7 +6,7 @@
 
 from pathlib import Path
 
-__all__ = ["line_on", "read_known_red"]
+__all__ = ["find_entry", "read_known_red"]
 
 SEPARATOR = "|"
 
@@ -19,6 +19,6 @@
     return {line.partition(SEPARATOR)[0].strip(): line for line in lines}
 
 
-def line_on(known: dict[str, str], test: str) -> str | None:
+def find_entry(known: dict[str, str], test: str) -> str | None:
     """Return the line on a test, or on all of its cases."""
     return known.get(test) or known.get(test.partition("[")[0])
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/listings.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/listings.py
@@ -2,10 +2,10 @@
 
 from typing import Any
 
-__all__ = ["list_instance", "list_upstream", "record_upstream"]
+__all__ = ["make_instance_entry", "make_upstream_entry", "make_upstream_record"]
 
 
-def record_upstream(
+def make_upstream_record(
     upstream: str, kind: str, address: str, serves: str, slots: int | None = None
 ) -> dict[str, Any]:
     """Return the record of an engine or a service; services have no slots."""
@@ -22,10 +22,12 @@
     return record
 
 
-def list_instance(node: str, address: str, zone: str, health: str) -> dict[str, Any]:
+def make_instance_entry(
+    instance: str, address: str, zone: str, health: str
+) -> dict[str, Any]:
     """Return an instance as the list of instances names it."""
     return {
-        "id": node,
+        "id": instance,
         "kind": "entry",
         "address": address,
         "zone": zone,
@@ -33,7 +35,7 @@
     }
 
 
-def list_upstream(
+def make_upstream_entry(
     upstream: str, kind: str, address: str, leaving: bool
 ) -> dict[str, Any]:
     """Return an upstream as the list of instances names it."""
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/memory_fleet.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/memory_fleet.py
@@ -22,7 +22,7 @@
 from .asgi import json_app
 from .deployments import ClassLoad, Deployment, records_of
 from .engine import Engine, EngineModel
-from .listings import list_instance, list_upstream, record_upstream
+from .listings import make_instance_entry, make_upstream_entry, make_upstream_record
 from .memory import MemoryNetwork
 from .memory_http import MemoryBackend, serve_http
 from .memory_hub import MemoryHub
@@ -279,12 +279,12 @@
         """Return the records of the engines and the service."""
         slots = self.engine_model.slots
         records = [
-            record_upstream(
+            make_upstream_record(
                 engine_id, "engine", f"{host}:90", engine_id.rpartition("-")[0], slots
             )
             for engine_id, host in self.engine_hosts.items()
         ]
-        service = record_upstream(
+        service = make_upstream_record(
             "orders-1", "service", SERVICE_ADDRESS, "order-service"
         )
         return [*records, service]
@@ -303,11 +303,13 @@
     def publish_instances(self) -> None:
         """Tell the platform which instances there are."""
         known = [
-            list_instance(node.id, node.peers, node.zone, node.operators)
+            make_instance_entry(node.id, node.peers, node.zone, node.operators)
             for node in self.nodes
         ]
         known += [
-            list_upstream(engine_id, "engine", f"{host}:90", engine_id in self.leaving)
+            make_upstream_entry(
+                engine_id, "engine", f"{host}:90", engine_id in self.leaving
+            )
             for engine_id, host in self.engine_hosts.items()
         ]
         self.platform.known = {each["id"]: each for each in known}
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/tests/test_known_red.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/tests/test_known_red.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from buckthornwall_standins.known_red import line_on, read_known_red
+from buckthornwall_standins.known_red import find_entry, read_known_red
 
 LINE = "a/test_a.py::test_one | pytest a, seed 3 | a cause | issue 7"
 
@@ -30,4 +30,4 @@
     ],
 )
 def test_a_line_stands_for_its_test_and_no_other(known, test, listed):
-    assert (line_on(known, test) is not None) == listed
+    assert (find_entry(known, test) is not None) == listed
--- a/packages/conftest.py
+++ b/packages/conftest.py
@@ -3,7 +3,7 @@
 from pathlib import Path
 
 import pytest
-from buckthornwall_standins.known_red import line_on, read_known_red
+from buckthornwall_standins.known_red import find_entry, read_known_red
 
 LIST = Path(__file__).parent.parent / "KNOWN-RED.txt"
 OUTCOMES = {"xfailed": "red", "xpassed": "passed: remove it from the list"}
@@ -13,7 +13,7 @@
     """Mark the listed tests, and no others, as expected to fail."""
     known = read_known_red(LIST)
     for item in items:
-        line = line_on(known, item.nodeid)
+        line = find_entry(known, item.nodeid)
         if line is not None:
             item.add_marker(pytest.mark.xfail(reason=line, strict=False))
 
