--- a/packages/buckthornwall-standins/src/buckthornwall_standins/crash_soak.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/crash_soak.py
@@ -15,9 +15,9 @@
 
 from .soak_run import CLIENT_TIMEOUT_S, RunSettings, SoakRun, play_seeds, soak_parser
 from .users_platform import Upstream
-from .users_platform.crashing import CRASHING, CrashingEngine
-from .users_platform.deployment import DRAFTS, HOST, KEY, ORDERS, route
-from .users_platform.wire import call_headers
+from .users_platform.crashing import CRASH_MARKER, CrashingEngine
+from .users_platform.deployment import API_KEY, DRAFTS, HOST, ORDERS, make_route
+from .users_platform.headers import make_request_headers
 
 __all__ = ["CrashSoak", "Limits", "Sending", "find_late", "main"]
 
@@ -111,7 +111,7 @@
     ) -> None:
         super().__init__(settings)
         self.engines = engines
-        self.bodies = [CRASHING + b"-%d" % n for n in range(crashing)]
+        self.bodies = [CRASH_MARKER + b"-%d" % n for n in range(crashing)]
         self.sendings: dict[str, Sending] = {}
         self.arrivals: list[Arrival] = []
         self.ends: list[tuple[float, bytes]] = []
@@ -124,9 +124,9 @@
         """Publish a configuration, start upstreams and register them."""
         self.deployment.slots = 32
         self.deployment.routes = [
-            route("once", "/once/", "stream", DRAFTS, max_attempts=1),
-            route("draft", "/draft/", "stream", DRAFTS, resumable=True),
-            route("look", "/look/", "idempotent", ORDERS),
+            make_route("once", "/once/", "stream", DRAFTS, max_attempts=1),
+            make_route("draft", "/draft/", "stream", DRAFTS, resumable=True),
+            make_route("look", "/look/", "idempotent", ORDERS),
         ]
         self.deployment.publish()
         for number in range(1, self.engines + 1):
@@ -181,7 +181,9 @@
         number = self.draw.randint(1, self.count)
         self.sendings[request] = Sending(body, number, trio.current_time())
         prompt = None if path == "look" else ("900,10", f"aa:600,{request[1:]}:300")
-        headers = call_headers(request, HOST, KEY, CLIENT_TIMEOUT_S, prompt, body)
+        headers = make_request_headers(
+            request, HOST, API_KEY, CLIENT_TIMEOUT_S, prompt, body
+        )
         kind = "crashing" if body in self.bodies else path
         self.statuses[kind, await self.exchange(number, path, headers, body)] += 1
 
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/limit_soak.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/limit_soak.py
@@ -12,7 +12,7 @@
 
 from .soak_run import RunSettings, SoakRun, play_seeds, soak_parser
 from .users_platform import Upstream
-from .users_platform.deployment import DRAFTS, ORDERS, route
+from .users_platform.deployment import DRAFTS, ORDERS, make_route
 
 __all__ = ["Allowance", "LimitSoak", "main", "most_in_window"]
 
@@ -93,9 +93,11 @@
         """Publish a configuration, start upstreams and register them."""
         self.deployment.slots = 32
         self.deployment.routes = [
-            route("once", "/once/", "stream", DRAFTS, max_attempts=1),
-            route("draft", "/draft/", "stream", DRAFTS, resumable=True, priority=0),
-            route("look", "/look/", "idempotent", ORDERS),
+            make_route("once", "/once/", "stream", DRAFTS, max_attempts=1),
+            make_route(
+                "draft", "/draft/", "stream", DRAFTS, resumable=True, priority=0
+            ),
+            make_route("look", "/look/", "idempotent", ORDERS),
         ]
         self.deployment.publish()
         pools = ((self.upstreams, DRAFTS, 1), (self.services, ORDERS, 200))
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/soak.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/soak.py
@@ -22,16 +22,14 @@
 from .soak_instances import SoakInstances
 from .users_platform import (
     Deployment,
-    PathFault,
+    FaultProxy,
+    ProxyFault,
     Store,
     StoreFault,
     Upstream,
 )
-from .users_platform import (
-    Path as NetworkPath,
-)
 from .users_platform.deployment import DRAFTS, ORDERS
-from .users_platform.upstream import EVENTS
+from .users_platform.upstream import STREAM_EVENTS
 
 __all__ = ["Soak", "main", "play_seed"]
 
@@ -77,7 +75,7 @@
         self.store = Store()
         self.deployment = Deployment(self.store)
         self.upstreams: dict[str, Upstream] = {}
-        self.paths: dict[str, NetworkPath] = {}
+        self.proxies: dict[str, FaultProxy] = {}
         self.instances = SoakInstances(ports, folder)
         self.callers = SoakCallers(self.draw, ports)
 
@@ -98,7 +96,7 @@
     async def _start(self, nursery: trio.Nursery) -> None:
         await nursery.start(self.store.run, f"127.0.9.2:{self.ports + 4}")
         store = f"127.0.9.1:{self.ports + 4}"
-        await self._start_path(nursery, "store", store, f"127.0.9.2:{self.ports + 4}")
+        await self._start_proxy(nursery, "store", store, f"127.0.9.2:{self.ports + 4}")
         self.deployment.publish()
         names = (("e1", DRAFTS), ("e2", DRAFTS), ("s1", ORDERS), ("s2", ORDERS))
         for number, (name, service) in enumerate(names, 1):
@@ -106,17 +104,17 @@
             target = f"127.0.6.{number}:{self.ports}"
             self.upstreams[name] = Upstream(name)
             await nursery.start(self.upstreams[name].run, target)
-            await self._start_path(nursery, name, address, target)
+            await self._start_proxy(nursery, name, address, target)
             self.deployment.register(name, service, address)
         for number in range(1, self.count + 1):
             self.instances.start(number)
         await self.instances.until_ready()
 
-    async def _start_path(
+    async def _start_proxy(
         self, nursery: trio.Nursery, name: str, listen: str, target: str
     ) -> None:
-        self.paths[name] = NetworkPath(target)
-        await nursery.start(self.paths[name].run, listen)
+        self.proxies[name] = FaultProxy(target)
+        await nursery.start(self.proxies[name].run, listen)
 
     # Faults
 
@@ -188,24 +186,24 @@
         self.store.faults.clear()
 
     async def _store_forgets(self) -> None:
-        self.store.forget_history()
+        self.store.drop_history()
 
     async def _store_slow(self) -> None:
-        self.store.slow_s = self.draw.uniform(0.0, 0.4)
+        self.store.delay_s = self.draw.uniform(0.0, 0.4)
         await trio.sleep(1.0)
-        self.store.slow_s = 0.0
+        self.store.delay_s = 0.0
 
     async def _upstream_sheds(self) -> None:
         upstream = self.draw.choice(list(self.upstreams.values()))
-        upstream.sheds = True
+        upstream.is_shedding = True
         await trio.sleep(self.draw.uniform(0.2, 1.0))
-        upstream.sheds = False
+        upstream.is_shedding = False
 
     async def _upstream_breaks(self) -> None:
         upstream = self.draw.choice(list(self.upstreams.values()))
-        upstream.cut_after = self.draw.randint(1, EVENTS - 1)
+        upstream.cut_after_events = self.draw.randint(1, STREAM_EVENTS - 1)
         await trio.sleep(self.draw.uniform(0.2, 1.0))
-        upstream.cut_after = 0
+        upstream.cut_after_events = 0
 
     async def _upstream_hangs(self) -> None:
         upstream = self.draw.choice(list(self.upstreams.values()))
@@ -223,14 +221,14 @@
         self.deployment.register(name, service, address)
 
     async def _path_fails(self) -> None:
-        path = self.draw.choice(list(self.paths.values()))
-        path.slow_s = self.draw.uniform(0.05, 0.4)
-        path.fail(self.draw.choice(list(PathFault)))
+        proxy = self.draw.choice(list(self.proxies.values()))
+        proxy.delay_s = self.draw.uniform(0.05, 0.4)
+        proxy.set_fault(self.draw.choice(list(ProxyFault)))
         await trio.sleep(self.draw.uniform(0.3, 2.0))
-        path.fail(PathFault.NONE)
+        proxy.set_fault(ProxyFault.NONE)
 
     async def _path_forgets(self) -> None:
-        self.draw.choice(list(self.paths.values())).forget_open()
+        self.draw.choice(list(self.proxies.values())).stall_open_connections()
 
     async def _configure(self) -> None:
         self.deployment.publish()
@@ -250,11 +248,15 @@
             if process.poll() is not None:
                 self.instances.start(number)
         self.store.faults.clear()
-        self.store.slow_s = 0.0
-        for path in self.paths.values():
-            path.fail(PathFault.NONE)
+        self.store.delay_s = 0.0
+        for proxy in self.proxies.values():
+            proxy.set_fault(ProxyFault.NONE)
         for upstream in self.upstreams.values():
-            upstream.sheds, upstream.cut_after, upstream.work_s = False, 0, 0.01
+            upstream.is_shedding, upstream.cut_after_events, upstream.work_s = (
+                False,
+                0,
+                0.01,
+            )
         await trio.sleep(RECOVERY_S)
         await self.instances.until_ready()
 
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/soak_callers.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/soak_callers.py
@@ -8,15 +8,17 @@
 from buckthornwall.http1 import ClientConnection, ExchangeError
 
 from .users_platform import Upstream
-from .users_platform.deployment import HOST, KEY
-from .users_platform.upstream import EVENTS
-from .users_platform.wire import call_headers
+from .users_platform.deployment import API_KEY, HOST
+from .users_platform.headers import make_request_headers
+from .users_platform.upstream import STREAM_EVENTS
 
 __all__ = ["SoakCallers", "Verdict"]
 
 PROMISES = frozenset({408, 421, 429, 503})
 CLIENT_TIMEOUT_S = 3.0
-WORDS = b"".join(b"id: %d\ndata: word-%d\n\n" % (n, n) for n in range(1, EVENTS + 1))
+WORDS = b"".join(
+    b"id: %d\ndata: word-%d\n\n" % (n, n) for n in range(1, STREAM_EVENTS + 1)
+)
 
 
 @dataclass
@@ -77,7 +79,7 @@
         self, number: int, path: str, request: str, is_stream: bool
     ) -> tuple[int, dict[bytes, bytes], bytes]:
         prompt = ("900,10", "aa:600,bb:300") if is_stream else None
-        headers = call_headers(request, HOST, KEY, CLIENT_TIMEOUT_S, prompt)
+        headers = make_request_headers(request, HOST, API_KEY, CLIENT_TIMEOUT_S, prompt)
         address = f"127.0.8.{number}:{self.ports}"
         connection = await ClientConnection.connect(address, 1.0)
         try:
@@ -94,7 +96,7 @@
         """Hold what upstreams ran against what callers were told."""
         once: dict[str, int] = {}
         for upstream in upstreams:
-            for request, count in upstream.runs_once.items():
+            for request, count in upstream.non_retryable_runs.items():
                 once[request] = once.get(request, 0) + count
         for request, count in once.items():
             if count > 1:
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/soak_instances.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/soak_instances.py
@@ -8,7 +8,7 @@
 import trio
 from buckthornwall.http1 import ClientConnection, ExchangeError
 
-from .users_platform.deployment import settings_text
+from .users_platform.deployment import format_settings
 
 __all__ = ["SoakInstances"]
 
@@ -36,7 +36,7 @@
     def start(self, number: int) -> None:
         """Start an instance, for the first time or again."""
         path = self.folder / f"node-{number}.ini"
-        path.write_text(settings_text(number, [1, 2], self.ports))
+        path.write_text(format_settings(number, [1, 2], self.ports))
         command = [sys.executable, "-m", "buckthornwall.start"]
         command += ["--interface", "platform", "--settings", str(path)]
         self.starts[number] = self.starts.get(number, 0) + 1
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/soak_run.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/soak_run.py
@@ -14,8 +14,8 @@
 
 from .soak_instances import SoakInstances
 from .users_platform import Deployment, Store
-from .users_platform.deployment import HOST, KEY
-from .users_platform.wire import call_headers
+from .users_platform.deployment import API_KEY, HOST
+from .users_platform.headers import make_request_headers
 
 __all__ = ["CLIENT_TIMEOUT_S", "RunSettings", "SoakRun", "play_seeds", "soak_parser"]
 
@@ -153,7 +153,7 @@
         self.asked[request] = Asked(path, number)
         subject = f"{self.draw.randrange(SUBJECTS):x}a"
         prompt = ("900,10", f"{subject}:600,{request[1:]}:300") if has_prompt else None
-        headers = call_headers(request, HOST, KEY, CLIENT_TIMEOUT_S, prompt)
+        headers = make_request_headers(request, HOST, API_KEY, CLIENT_TIMEOUT_S, prompt)
         self.statuses[path, await self.exchange(number, path, headers)] += 1
 
     async def exchange(
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/tests/test_router.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/tests/test_router.py
@@ -18,7 +18,12 @@
     Upstream,
     make_settings,
 )
-from buckthornwall_standins.users_platform.deployment import DRAFTS, HOST, KEY, ORDERS
+from buckthornwall_standins.users_platform.deployment import (
+    API_KEY,
+    DRAFTS,
+    HOST,
+    ORDERS,
+)
 
 PORTS = itertools.count(7400, 10)
 IDS = itertools.count(1)
@@ -78,7 +83,9 @@
             while not condition():
                 await trio.sleep(0.01)
 
-    async def call(self, path, number=1, method=b"POST", key=KEY, prompt=False, **more):
+    async def call(
+        self, path, number=1, method=b"POST", key=API_KEY, prompt=False, **more
+    ):
         """Make a call; return status, headers and body."""
         address = f"127.0.8.{number}:{self.ports}"
         request_id = more.get("request_id", f"r{next(IDS)}")
@@ -120,14 +127,14 @@
         assert headers[b"x-buckthornwall-response-seal"] == b"seal-of-o1"
         status, _, body = await site.call("/draft/x", number, prompt=True)
         assert (status, body) == (200, EVENTS)
-    arrived = site.upstreams["s1"].seen[0]
+    arrived = site.upstreams["s1"].received_headers[0]
     assert arrived[b"x-buckthornwall-tenant"] == b"one"
     assert b"x-buckthornwall-key" not in arrived
 
 
 @pytest.mark.parametrize(
     ("path", "key", "status"),
-    [("/nowhere/", KEY, 404), ("/order/x", "stolen", 401), ("/order/x", "", 401)],
+    [("/nowhere/", API_KEY, 404), ("/order/x", "stolen", 401), ("/order/x", "", 401)],
 )
 async def test_what_no_configuration_allows_never_runs(site, path, key, status):
     await site.start(1)
@@ -146,7 +153,7 @@
 async def test_a_resumable_stream_goes_on_at_another_engine(site):
     await site.start(1)
     for name in ("e1", "e2"):
-        site.upstreams[name].cut_after = 3
+        site.upstreams[name].cut_after_events = 3
     status, _, body = await site.call("/draft/x", prompt=True)
     assert (status, body) == (200, EVENTS)
 
@@ -243,10 +250,10 @@
 
 
 async def test_lost_history_and_short_pages_lose_nothing(site):
-    site.store.page = 2
+    site.store.page_size = 2
     await site.start(1)
-    site.store.history = 1
-    site.store.forget_history()
+    site.store.max_events = 1
+    site.store.drop_history()
     await site.add_upstream("e3", DRAFTS)
     site.store.remove("servers/e1")
     number = site.deployment.publish()
@@ -299,7 +306,7 @@
 async def test_a_request_before_the_first_version_waits_for_it_a_moment(site):
     """It would be refused, and come back 0.5 s later."""
     await site.start(1)
-    site.store.slow_s = 0.1
+    site.store.delay_s = 0.1
     site.nursery.start_soon(site._run_router, 2)
     await site.until(lambda: 2 in site.routers)
     await site.until(lambda: site.routers[2].is_listening)
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/tier_soak.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/tier_soak.py
@@ -15,8 +15,8 @@
 from .soak_run import RunSettings, SoakRun, play_seeds, soak_parser
 from .tiers import RequestAttempt, find_inversions
 from .users_platform import Engine
-from .users_platform.deployment import DRAFTS, HOST, KEY, route
-from .users_platform.wire import call_headers
+from .users_platform.deployment import API_KEY, DRAFTS, HOST, make_route
+from .users_platform.headers import make_request_headers
 
 __all__ = ["TierSoak", "main"]
 
@@ -80,7 +80,7 @@
     async def start_upstreams(self, nursery: trio.Nursery) -> None:
         """Publish a configuration, start engines and register them."""
         self.deployment.routes = [
-            route(
+            make_route(
                 kind.name,
                 f"/{kind.name}/",
                 "stream",
@@ -130,7 +130,7 @@
         segments = f"{kind.tier}{subject:x}:{kind.shared},f{request[1:]}:{kind.own}"
         tokens = kind.shared + kind.own
         prompt = (f"{tokens},{kind.events}", segments)
-        headers = call_headers(request, HOST, KEY, kind.deadline_s, prompt)
+        headers = make_request_headers(request, HOST, API_KEY, kind.deadline_s, prompt)
         at = self._now()
         begun_at, end = await self._exchange(kind, instance, headers)
         self.statuses[kind.name, end] += 1
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/users_platform/__init__.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/users_platform/__init__.py
@@ -5,22 +5,22 @@
 `upstream`    a model engine and a plain service that count what they run
 `engine`      a model engine that reads prompts in real time, urgent ones first
 `wire`        headers that callers and upstreams have in common
-`path`        a loopback proxy whose connections can be harmed
+`fault_proxy`        a loopback proxy whose connections can be harmed
 `deployment`  settings, configuration and registrations that fit together
 ============= ============================================================
 """
 
 from .deployment import Deployment, make_settings
 from .engine import Engine
-from .path import Path, PathFault
+from .fault_proxy import FaultProxy, ProxyFault
 from .store import Store, StoreFault
 from .upstream import Upstream
 
 __all__ = [
     "Deployment",
     "Engine",
-    "Path",
-    "PathFault",
+    "FaultProxy",
+    "ProxyFault",
     "Store",
     "StoreFault",
     "Upstream",
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/users_platform/cold.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/users_platform/cold.py
@@ -6,52 +6,54 @@
 import trio
 from buckthornwall.http1 import IncomingRequest, ResponseWriter
 
-from .ending import EndingUpstream
-from .wire import PREFIX
+from .crashable import CrashableUpstream
+from .headers import PREFIX
 
 __all__ = ["ColdEngine"]
 
-EXPECTED = PREFIX.lower() + b"expect-instance"
+EXPECT_INSTANCE_HEADER = PREFIX.lower() + b"expect-instance"
 WINDOW_S = 1.0
 
 
 @dataclass
-class ColdEngine(EndingUpstream):
+class ColdEngine(CrashableUpstream):
     """One incarnation of an engine.
 
     Attributes
     ----------
-    most_per_s : float
+    max_per_s : float
         Requests in a second above which it crashes while it is cold.
     cold_until : float
         When it is cold no longer, in seconds.
-    most_seen : int
+    peak_cold_per_s : int
         The most requests that came within a second while it was cold.
     """
 
-    most_per_s: float = 20.0
+    max_per_s: float = 20.0
     cold_until: float = 0.0
-    most_seen: int = 0
-    _recent: deque[float] = field(default_factory=deque)
+    peak_cold_per_s: int = 0
+    _recent_arrivals: deque[float] = field(default_factory=deque)
 
-    def cool(self, seconds: float) -> None:
+    def start_cold(self, seconds: float) -> None:
         """Be cold from now on, for so many seconds."""
         self.cold_until = trio.current_time() + seconds
-        self._recent.clear()
+        self._recent_arrivals.clear()
 
-    async def _handle(self, incoming: IncomingRequest, answer: ResponseWriter) -> None:
-        expected = dict(incoming.headers).get(EXPECTED, self.id.encode())
+    async def _handle(
+        self, incoming: IncomingRequest, response: ResponseWriter
+    ) -> None:
+        expected = dict(incoming.headers).get(EXPECT_INSTANCE_HEADER, self.id.encode())
         if expected == self.id.encode():
-            self._count(trio.current_time())
-        await super()._handle(incoming, answer)
+            self._record_request(trio.current_time())
+        await super()._handle(incoming, response)
 
-    def _count(self, now: float) -> None:
+    def _record_request(self, now: float) -> None:
         """Count a request; crash where there are too many."""
         if now >= self.cold_until:
             return
-        self._recent.append(now)
-        while now - self._recent[0] > WINDOW_S:
-            self._recent.popleft()
-        self.most_seen = max(self.most_seen, len(self._recent))
-        if len(self._recent) > self.most_per_s:
+        self._recent_arrivals.append(now)
+        while now - self._recent_arrivals[0] > WINDOW_S:
+            self._recent_arrivals.popleft()
+        self.peak_cold_per_s = max(self.peak_cold_per_s, len(self._recent_arrivals))
+        if len(self._recent_arrivals) > self.max_per_s:
             self.crashed.set()
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/users_platform/ending.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/users_platform/crashable.py
@@ -6,11 +6,11 @@
 
 from .upstream import Upstream
 
-__all__ = ["EndingUpstream"]
+__all__ = ["CrashableUpstream"]
 
 
 @dataclass
-class EndingUpstream(Upstream):
+class CrashableUpstream(Upstream):
     """One incarnation of an upstream.
 
     Attributes
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/users_platform/deployment.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/users_platform/deployment.py
@@ -7,15 +7,15 @@
 
 from .store import Store
 
-__all__ = ["Deployment", "make_settings", "route", "settings_text"]
+__all__ = ["Deployment", "make_settings", "make_route", "format_settings"]
 
 HOST = "callers.example"
-KEY = "key-of-one"
+API_KEY = "key-of-one"
 DRAFTS = "drafts"
 ORDERS = "orders"
 
 
-def settings_text(number: int, seeds: list[int], ports: int) -> str:
+def format_settings(number: int, seeds: list[int], ports: int) -> str:
     """Return the settings file of instance `number`.
 
     Parameters
@@ -28,7 +28,7 @@
         First of five ports that all instances share.
     """
     ip = f"127.0.8.{number}"
-    greeted = ",".join(f"127.0.8.{seed}:{ports + 2}" for seed in seeds)
+    seed_addresses = ",".join(f"127.0.8.{seed}:{ports + 2}" for seed in seeds)
     text = f"""
         [node]
         id = node-{number}
@@ -43,7 +43,7 @@
         answer_timeout_ms = 300
         [peers]
         listen = {ip}:{ports + 2}
-        seeds = {greeted}
+        seeds = {seed_addresses}
         [discovery]
         gap_ms = 50
         outage_ms = 200
@@ -57,11 +57,11 @@
 
 def make_settings(number: int, seeds: list[int], ports: int) -> RouterSettings:
     """Return the checked settings of instance `number`."""
-    return RouterSettings.from_config(settings_text(number, seeds, ports))
+    return RouterSettings.from_config(format_settings(number, seeds, ports))
 
 
-def route(name: str, path: str, kind: str, service: str, **more: Any) -> dict:
-    """Return a route as the operator writes it; `more` replaces what is usual."""
+def make_route(name: str, path: str, kind: str, service: str, **overrides: Any) -> dict:
+    """Return a route as the operator writes it; `overrides` replaces what is usual."""
     return {
         "name": name,
         "host": HOST,
@@ -73,7 +73,7 @@
         "service": service,
         "max_attempts": 2,
         "public": False,
-    } | more
+    } | overrides
 
 
 @dataclass
@@ -86,13 +86,13 @@
     memory_tokens: int = 100_000
     cold_s: float = 0.0
     cold_per_s: float = 0.0
-    keys: list[str] = field(default_factory=lambda: [KEY])
+    keys: list[str] = field(default_factory=lambda: [API_KEY])
     routes: list[dict[str, Any]] = field(
         default_factory=lambda: [
-            route("draft", "/draft/", "stream", DRAFTS, resumable=True),
-            route("once", "/once/", "stream", DRAFTS, max_attempts=1),
-            route("order", "/order/", "non_idempotent", ORDERS),
-            route("look", "/look/", "idempotent", ORDERS),
+            make_route("draft", "/draft/", "stream", DRAFTS, resumable=True),
+            make_route("once", "/once/", "stream", DRAFTS, max_attempts=1),
+            make_route("order", "/order/", "non_idempotent", ORDERS),
+            make_route("look", "/look/", "idempotent", ORDERS),
         ]
     )
 
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/users_platform/engine.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/users_platform/engine.py
@@ -15,23 +15,23 @@
 )
 from buckthornwall.utils import TrioClock
 
-from .wire import PREFIX, reply_headers
+from .headers import PREFIX, make_response_headers
 
 __all__ = ["Engine"]
 
 LIMITS = ServerLimits(65_536, 8 * 2**20, 10.0, 5.0)
 CHUNK_TOKENS = 2048
-NO_PRIORITY = b"5"
+DEFAULT_PRIORITY = b"5"
 
 
 @dataclass(eq=False)
-class _Prompt:
+class _PrefillJob:
     """One request there: the segments that are not prefilled yet."""
 
     pending_prefill_tokens: int
     segments: dict[bytes, int]
     is_prefilled: trio.Event = field(default_factory=trio.Event)
-    is_left: bool = False
+    is_abandoned: bool = False
 
 
 @dataclass
@@ -54,9 +54,9 @@
     slots: int = 32
     running: int = 0
     cached: set[bytes] = field(default_factory=set)
-    _waiting: list[tuple[int, int, _Prompt]] = field(default_factory=list)
-    _numbers: itertools.count = field(default_factory=itertools.count)
-    _come: trio.Event = field(default_factory=trio.Event)
+    _waiting: list[tuple[int, int, _PrefillJob]] = field(default_factory=list)
+    _arrival_numbers: itertools.count = field(default_factory=itertools.count)
+    _changed: trio.Event = field(default_factory=trio.Event)
 
     async def run(self, address: str, *, task_status=trio.TASK_STATUS_IGNORED) -> None:
         """Serve until cancelled."""
@@ -67,11 +67,11 @@
 
     async def _prefill(self) -> None:
         while True:
-            while self._waiting and self._waiting[0][2].is_left:
+            while self._waiting and self._waiting[0][2].is_abandoned:
                 heapq.heappop(self._waiting)
             if not self._waiting or self.running >= self.slots:
-                self._come = trio.Event()
-                await self._come.wait()
+                self._changed = trio.Event()
+                await self._changed.wait()
                 continue
             prompt = self._waiting[0][2]
             chunk_tokens = min(prompt.pending_prefill_tokens, CHUNK_TOKENS)
@@ -83,50 +83,58 @@
                 self.cached.update(prompt.segments)
                 prompt.is_prefilled.set()
 
-    async def _handle(self, incoming: IncomingRequest, answer: ResponseWriter) -> None:
-        found = dict(incoming.headers)
-        rank = int(found.get(b"x-buckthornwall-request-priority", NO_PRIORITY))
-        async with self._wait(rank, _segments(found)) as prompt:
+    async def _handle(
+        self, incoming: IncomingRequest, response: ResponseWriter
+    ) -> None:
+        request_headers = dict(incoming.headers)
+        rank = int(
+            request_headers.get(b"x-buckthornwall-request-priority", DEFAULT_PRIORITY)
+        )
+        async with self._queue_prompt(rank, _segments(request_headers)) as prompt:
             await prompt.is_prefilled.wait()
         self.running += 1
         try:
-            await self._stream(found, answer)
+            await self._stream(request_headers, response)
         finally:
             self.running -= 1
-            self._come.set()
+            self._changed.set()
 
     @asynccontextmanager
-    async def _wait(
+    async def _queue_prompt(
         self, rank: int, segments: dict[bytes, int]
-    ) -> AsyncIterator[_Prompt]:
+    ) -> AsyncIterator[_PrefillJob]:
         pending_prefill = sum(
             n for segment, n in segments.items() if segment not in self.cached
         )
-        prompt = _Prompt(max(1, pending_prefill), segments)
-        heapq.heappush(self._waiting, (rank, next(self._numbers), prompt))
-        self._come.set()
+        prompt = _PrefillJob(max(1, pending_prefill), segments)
+        heapq.heappush(self._waiting, (rank, next(self._arrival_numbers), prompt))
+        self._changed.set()
         try:
             yield prompt
         finally:
-            prompt.is_left = True
+            prompt.is_abandoned = True
 
-    async def _stream(self, found: dict[bytes, bytes], answer: ResponseWriter) -> None:
-        request = found[b"x-buckthornwall-attempt-id"]
-        events = int(found[b"x-buckthornwall-token-count"].partition(b",")[2])
+    async def _stream(
+        self, request_headers: dict[bytes, bytes], response: ResponseWriter
+    ) -> None:
+        request = request_headers[b"x-buckthornwall-attempt-id"]
+        events = int(request_headers[b"x-buckthornwall-token-count"].partition(b",")[2])
         headers = [
-            *reply_headers(request, self.running, len(self._waiting), self.slots),
+            *make_response_headers(
+                request, self.running, len(self._waiting), self.slots
+            ),
             (PREFIX + b"Response-Seal", b"seal-of-" + request),
             (b"Content-Type", b"text/event-stream"),
         ]
-        await answer.begin(200, headers)
+        await response.begin(200, headers)
         for number in range(1, events + 1):
-            await answer.send(b"id: %d\ndata: w\n\n" % number)
+            await response.send(b"id: %d\ndata: w\n\n" % number)
             await trio.sleep(self.event_s)
-        await answer.end()
+        await response.end()
 
 
-def _segments(found: dict[bytes, bytes]) -> dict[bytes, int]:
+def _segments(request_headers: dict[bytes, bytes]) -> dict[bytes, int]:
     """Return the tokens of a prompt's segments."""
-    entries = found[b"x-buckthornwall-prompt-prefix"].split(b",")
+    entries = request_headers[b"x-buckthornwall-prompt-prefix"].split(b",")
     pairs = (entry.partition(b":") for entry in entries)
     return {segment: int(tokens) for segment, _, tokens in pairs}
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/users_platform/path.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/users_platform/fault_proxy.py
@@ -7,44 +7,46 @@
 
 import trio
 
-__all__ = ["Path", "PathFault"]
+__all__ = ["FaultProxy", "ProxyFault"]
 
 READ_BYTES = 65536
 # Closing with this option set resets the connection (SO_LINGER, zero seconds).
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 
 
-class PathFault(Enum):
+class ProxyFault(Enum):
     """How a path fails, until it is told otherwise."""
 
     NONE = "none"
     SLOW = "slow"  # all bytes come later
     RESET = "reset"  # connections end at once, new ones too
     SILENT = "silent"  # nothing passes, either way
-    NO_WAY_THERE = "no way there"  # nothing reaches the target
-    NO_WAY_BACK = "no way back"  # nothing comes from the target
+    BLOCKED_TO_TARGET = "no way there"  # nothing reaches the target
+    BLOCKED_FROM_TARGET = "no way back"  # nothing comes from the target
 
 
-HELD_THERE = frozenset({PathFault.SILENT, PathFault.NO_WAY_THERE})
-HELD_BACK = frozenset({PathFault.SILENT, PathFault.NO_WAY_BACK})
+BLOCKS_TO_TARGET = frozenset({ProxyFault.SILENT, ProxyFault.BLOCKED_TO_TARGET})
+BLOCKS_FROM_TARGET = frozenset({ProxyFault.SILENT, ProxyFault.BLOCKED_FROM_TARGET})
 
 
 class _Connection:
-    """One connection through the path; `dead` ones stay silent for good."""
+    """One connection through the path; `is_stalled` ones stay silent for good."""
 
-    def __init__(self, near: trio.SocketStream, far: trio.SocketStream) -> None:
-        self.near = near
-        self.far = far
-        self.dead = False
+    def __init__(
+        self, client_stream: trio.SocketStream, target_stream: trio.SocketStream
+    ) -> None:
+        self.client_stream = client_stream
+        self.target_stream = target_stream
+        self.is_stalled = False
         self.scope = trio.CancelScope()
 
     def reset(self) -> None:
-        for stream in (self.near, self.far):
+        for stream in (self.client_stream, self.target_stream):
             stream.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
         self.scope.cancel()
 
 
-class Path:
+class FaultProxy:
     """Forwards connections to `target`.
 
     Parameters
@@ -54,77 +56,91 @@
 
     Attributes
     ----------
-    slow_s : float
+    delay_s : float
         By how much bytes come later while the path is slow.
     """
 
     def __init__(self, target: str) -> None:
         self.target = target
-        self.fault = PathFault.NONE
-        self.slow_s = 0.0
+        self.fault = ProxyFault.NONE
+        self.delay_s = 0.0
         self._connections: set[_Connection] = set()
         self._changed = trio.Event()
 
-    def fail(self, fault: PathFault) -> None:
+    def set_fault(self, fault: ProxyFault) -> None:
         """Set the fault for all connections, those that are open included."""
         self.fault = fault
-        if fault is PathFault.RESET:
+        if fault is ProxyFault.RESET:
             for connection in self._connections:
                 connection.reset()
         self._changed.set()
         self._changed = trio.Event()
 
-    def forget_open(self) -> None:
+    def stall_open_connections(self) -> None:
         """Make what is open now silent for good; new connections work."""
         for connection in self._connections:
-            connection.dead = True
+            connection.is_stalled = True
 
     async def run(self, listen: str, *, task_status=trio.TASK_STATUS_IGNORED) -> None:
         """Forward until cancelled."""
         host, _, port = listen.rpartition(":")
         await trio.serve_tcp(self._serve, int(port), host=host, task_status=task_status)
 
-    async def _serve(self, near: trio.SocketStream) -> None:
+    async def _serve(self, client_stream: trio.SocketStream) -> None:
         host, _, port = self.target.rpartition(":")
         try:
-            far = await trio.open_tcp_stream(host, int(port))
+            target_stream = await trio.open_tcp_stream(host, int(port))
         except OSError:
-            await near.aclose()
+            await client_stream.aclose()
             return
-        connection = _Connection(near, far)
+        connection = _Connection(client_stream, target_stream)
         self._connections.add(connection)
         try:
             with connection.scope:
-                if self.fault is PathFault.RESET:
+                if self.fault is ProxyFault.RESET:
                     connection.reset()
                 async with trio.open_nursery() as nursery:
-                    nursery.start_soon(self._copy, connection, near, far, HELD_THERE)
-                    nursery.start_soon(self._copy, connection, far, near, HELD_BACK)
+                    nursery.start_soon(
+                        self._copy,
+                        connection,
+                        client_stream,
+                        target_stream,
+                        BLOCKS_TO_TARGET,
+                    )
+                    nursery.start_soon(
+                        self._copy,
+                        connection,
+                        target_stream,
+                        client_stream,
+                        BLOCKS_FROM_TARGET,
+                    )
         finally:
             self._connections.discard(connection)
-            for stream in (near, far):
+            for stream in (client_stream, target_stream):
                 await trio.aclose_forcefully(stream)
 
     async def _copy(
         self,
         connection: _Connection,
-        one: trio.SocketStream,
-        other: trio.SocketStream,
-        held: frozenset[PathFault],
+        source: trio.SocketStream,
+        destination: trio.SocketStream,
+        blocking_faults: frozenset[ProxyFault],
     ) -> None:
         try:
-            async for data in one:
-                await self._hold(connection, held)
-                await other.send_all(data)
-            await self._hold(connection, held)
+            async for data in source:
+                await self._apply_fault(connection, blocking_faults)
+                await destination.send_all(data)
+            await self._apply_fault(connection, blocking_faults)
         except (trio.BrokenResourceError, trio.ClosedResourceError):
             pass  # either end is gone; the other one is closed with it
         connection.scope.cancel()
 
-    async def _hold(self, connection: _Connection, held: frozenset[PathFault]) -> None:
-        if self.fault is PathFault.SLOW:
-            await trio.sleep(self.slow_s)
-        while self.fault in held:
+    async def _apply_fault(
+        self, connection: _Connection, blocking_faults: frozenset[ProxyFault]
+    ) -> None:
+        if self.fault is ProxyFault.SLOW:
+            await trio.sleep(self.delay_s)
+        while self.fault in blocking_faults:
             await self._changed.wait()
-        if connection.dead:
+        if connection.is_stalled:
             await trio.sleep(math.inf)
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/users_platform/wire.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/users_platform/headers.py
@@ -1,13 +1,13 @@
 """Headers that the stand-ins of callers and upstreams have in common."""
 
-__all__ = ["PREFIX", "call_headers", "reply_headers"]
+__all__ = ["PREFIX", "make_request_headers", "make_response_headers"]
 
 PREFIX = b"X-Buckthornwall-"
 
 Headers = list[tuple[bytes, bytes]]
 
 
-def call_headers(
+def make_request_headers(
     request: str,
     host: str,
     key: str,
@@ -42,7 +42,9 @@
     return headers
 
 
-def reply_headers(request: bytes, running: int, waiting: int, slots: int) -> Headers:
+def make_response_headers(
+    request: bytes, running: int, waiting: int, slots: int
+) -> Headers:
     """Return what every reply of an upstream bears: the call's id, and its load."""
     return [
         (PREFIX + b"Attempt-Id", request),
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/users_platform/store.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/users_platform/store.py
@@ -27,7 +27,7 @@
 
     NONE = "none"
     BUSY = "busy"  # every call gets 503
-    MANY = "many"  # every call gets 429
+    TOO_MANY_REQUESTS = "many"  # every call gets 429
     SILENT = "silent"  # no call is answered
     RESET = "reset"  # every call ends with its connection
 
@@ -38,19 +38,19 @@
 
     Attributes
     ----------
-    page : int
+    page_size : int
         Items in a page at most.
-    history : int
+    max_events : int
         Changes that are kept for watches.
-    slow_s : float
+    delay_s : float
         Added to each answer.
     faults : dict
         Fault by the caller's IP number; '' holds for all.
     """
 
-    page: int = 500
-    history: int = 100
-    slow_s: float = 0.0
+    page_size: int = 500
+    max_events: int = 100
+    delay_s: float = 0.0
     revision: int = 1
     calls: int = 0
     items: dict[str, tuple[bytes, int]] = field(default_factory=dict)
@@ -66,27 +66,27 @@
         """Write an item as it is; return its revision."""
         self.revision += 1
         self.items[key] = (raw, self.revision)
-        self._note(_item(key, raw, self.revision))
+        self._record_event(_item(key, raw, self.revision))
         return self.revision
 
     def remove(self, key: str) -> None:
         """Remove an item."""
         self.revision += 1
         self.items.pop(key, None)
-        self._note({"key": key, "revision": self.revision, "removed": True})
+        self._record_event({"key": key, "revision": self.revision, "removed": True})
 
-    def forget_history(self) -> None:
+    def drop_history(self) -> None:
         """Drop what changed, so that watches must read everything again."""
         self.revision += 1
         self.events.clear()
-        self._wake()
+        self._wake_watches()
 
-    def _note(self, event: dict[str, Any]) -> None:
+    def _record_event(self, event: dict[str, Any]) -> None:
         self.events.append(event)
-        del self.events[: -self.history]
-        self._wake()
+        del self.events[: -self.max_events]
+        self._wake_watches()
 
-    def _wake(self) -> None:
+    def _wake_watches(self) -> None:
         self.changed.set()
         self.changed = trio.Event()
 
@@ -95,18 +95,20 @@
         server = HttpServer(TrioClock(), lambda: LIMITS, self._handle)
         await server.run(address, task_status=task_status)
 
-    async def _handle(self, incoming: IncomingRequest, answer: ResponseWriter) -> None:
+    async def _handle(
+        self, incoming: IncomingRequest, response: ResponseWriter
+    ) -> None:
         self.calls += 1
-        caller = answer.connection.sock.getpeername()[0]
+        caller = response.connection.sock.getpeername()[0]
         fault = self.faults.get(caller, self.faults.get("", StoreFault.NONE))
-        await trio.sleep(self.slow_s)
+        await trio.sleep(self.delay_s)
         if fault is StoreFault.SILENT:
             await trio.sleep_forever()
         elif fault is StoreFault.RESET:
             return  # an answer that never began closes its connection
         elif fault is not StoreFault.NONE:
             status = 503 if fault is StoreFault.BUSY else 429
-            await answer.send_complete(status, JSON, b"{}")
+            await response.send_complete(status, JSON, b"{}")
             return
         target = urlsplit(incoming.target.decode())
         query = {key: values[0] for key, values in parse_qs(target.query).items()}
@@ -116,7 +118,7 @@
             status, body = await self.watch(query)
         else:
             status, body = 404, {"error": "no such call"}
-        await answer.send_complete(status, JSON, msgspec.json.encode(body))
+        await response.send_complete(status, JSON, msgspec.json.encode(body))
 
     def range(self, query: dict[str, str]) -> dict[str, Any]:
         """Return a page of items, as the body of an answer."""
@@ -125,8 +127,8 @@
             key for key in self.items if key.startswith(prefix) and key > after
         )
         return {
-            "items": [_item(key, *self.items[key]) for key in keys[: self.page]],
-            "truncated": len(keys) > self.page,
+            "items": [_item(key, *self.items[key]) for key in keys[: self.page_size]],
+            "truncated": len(keys) > self.page_size,
             "store_revision": self.revision,
         }
 
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/users_platform/upstream.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/users_platform/upstream.py
@@ -14,13 +14,13 @@
 )
 from buckthornwall.utils import TrioClock
 
-from .wire import PREFIX, reply_headers
+from .headers import PREFIX, make_response_headers
 
 __all__ = ["Upstream"]
 
 LIMITS = ServerLimits(65_536, 8 * 2**20, 10.0, 5.0)
-EVENTS = 6
-ONCE = (b"/once/", b"/order/")
+STREAM_EVENTS = 6
+NON_RETRYABLE_PATHS = (b"/once/", b"/order/")
 
 
 @dataclass
@@ -35,11 +35,11 @@
         Seconds of a whole answer, or before the first event.
     event_s : float
         Seconds between events.
-    sheds : bool
+    is_shedding : bool
         Whether it refuses, and says that it did not run.
-    runs, runs_once : Counter
+    runs, non_retryable_runs : Counter
         Runs by request id: all, and those that may not be repeated.
-    seen : list
+    received_headers : list
         Headers of each arrival, names in lower case.
     rate_limit : str
         The requests a second that it names in its answers, or ''.
@@ -51,12 +51,12 @@
     work_s: float = 0.01
     event_s: float = 0.01
     slots: int = 8
-    sheds: bool = False
+    is_shedding: bool = False
     runs: Counter = field(default_factory=Counter)
-    runs_once: Counter = field(default_factory=Counter)
-    seen: list[dict[bytes, bytes]] = field(default_factory=list)
+    non_retryable_runs: Counter = field(default_factory=Counter)
+    received_headers: list[dict[bytes, bytes]] = field(default_factory=list)
     running: int = 0
-    cut_after: int = 0  # events after which a stream breaks off, 0 for never
+    cut_after_events: int = 0  # events after which a stream breaks off, 0 for never
     rate_limit: str = ""
     on_arrival: Callable[[str], None] = lambda request: None
 
@@ -65,50 +65,54 @@
         server = HttpServer(TrioClock(), lambda: LIMITS, self._handle)
         await server.run(address, task_status=task_status)
 
-    async def _handle(self, incoming: IncomingRequest, answer: ResponseWriter) -> None:
-        found = dict(incoming.headers)
-        self.seen.append(found)
-        request_id = found.get(b"x-buckthornwall-attempt-id", b"")
-        common = reply_headers(request_id, self.running, 0, self.slots)
+    async def _handle(
+        self, incoming: IncomingRequest, response: ResponseWriter
+    ) -> None:
+        request_headers = dict(incoming.headers)
+        self.received_headers.append(request_headers)
+        request_id = request_headers.get(b"x-buckthornwall-attempt-id", b"")
+        common = make_response_headers(request_id, self.running, 0, self.slots)
         if self.rate_limit:
             common.append((b"Server-Limit", self.rate_limit.encode()))
-        expected = found.get(b"x-buckthornwall-expect-instance", self.id.encode())
+        expected = request_headers.get(
+            b"x-buckthornwall-expect-instance", self.id.encode()
+        )
         if expected != self.id.encode():
-            await answer.send_complete(421, common, b"")
+            await response.send_complete(421, common, b"")
             return
         self.on_arrival(request_id.decode())
-        if self.sheds:
-            await answer.send_complete(
+        if self.is_shedding:
+            await response.send_complete(
                 503, [*common, (PREFIX + b"Not-Executed", b"1")], b""
             )
             return
         self.runs[request_id.decode()] += 1
-        if incoming.target.startswith(ONCE):
-            self.runs_once[request_id.decode()] += 1
+        if incoming.target.startswith(NON_RETRYABLE_PATHS):
+            self.non_retryable_runs[request_id.decode()] += 1
         self.running += 1
         signed = [*common, (PREFIX + b"Response-Seal", b"seal-of-" + request_id)]
         try:
             await trio.sleep(self.work_s)
-            if b"x-buckthornwall-token-count" in found:
-                await self._stream(found, answer, signed)
+            if b"x-buckthornwall-token-count" in request_headers:
+                await self._stream(request_headers, response, signed)
             else:
-                await answer.send_complete(200, signed, b"answer-to-" + request_id)
+                await response.send_complete(200, signed, b"answer-to-" + request_id)
         finally:
             self.running -= 1
 
     async def _stream(
         self,
-        found: dict[bytes, bytes],
-        answer: ResponseWriter,
+        request_headers: dict[bytes, bytes],
+        response: ResponseWriter,
         headers: list[tuple[bytes, bytes]],
     ) -> None:
-        first = int(found.get(b"last-event-id", b"0")) + 1
-        await answer.begin(200, [*headers, (b"Content-Type", b"text/event-stream")])
-        for made, number in zip(
-            itertools.count(), range(first, EVENTS + 1), strict=False
+        first = int(request_headers.get(b"last-event-id", b"0")) + 1
+        await response.begin(200, [*headers, (b"Content-Type", b"text/event-stream")])
+        for sent, number in zip(
+            itertools.count(), range(first, STREAM_EVENTS + 1), strict=False
         ):
-            if self.cut_after and made >= self.cut_after:
+            if self.cut_after_events and sent >= self.cut_after_events:
                 return  # an answer that is not ended breaks off
-            await answer.send(b"id: %d\ndata: word-%d\n\n" % (number, number))
+            await response.send(b"id: %d\ndata: word-%d\n\n" % (number, number))
             await trio.sleep(self.event_s)
-        await answer.end()
+        await response.end()
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/zone_soak.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/zone_soak.py
@@ -14,7 +14,7 @@
 
 from .soak_run import RunSettings, SoakRun, play_seeds, soak_parser
 from .users_platform.cold import ColdEngine
-from .users_platform.deployment import DRAFTS, route
+from .users_platform.deployment import DRAFTS, make_route
 
 __all__ = ["Bounds", "ZoneSoak", "main"]
 
@@ -87,7 +87,7 @@
     def most_cold(self) -> int:
         """Return the most requests that reached a cold engine within a second."""
         engines = [*self.ended, *self.running.values()]
-        return max(engine.most_seen for engine in engines)
+        return max(engine.peak_cold_per_s for engine in engines)
 
     async def start_upstreams(self, nursery: trio.Nursery) -> None:
         """Publish a configuration, start engines and register them."""
@@ -95,9 +95,11 @@
         self.deployment.cold_s = self.bounds.cold_s
         self.deployment.cold_per_s = self.bounds.cold_per_s
         self.deployment.routes = [
-            route("once", "/once/", "stream", DRAFTS, max_attempts=1),
-            route("draft", "/draft/", "stream", DRAFTS, resumable=True, priority=0),
-            route(
+            make_route("once", "/once/", "stream", DRAFTS, max_attempts=1),
+            make_route(
+                "draft", "/draft/", "stream", DRAFTS, resumable=True, priority=0
+            ),
+            make_route(
                 BOUND,
                 f"/{BOUND}/",
                 "stream",
@@ -124,10 +126,10 @@
         is_first = True
         while True:
             engine = ColdEngine(f"e{next(self._ids)}", event_s=0.03)
-            engine.most_per_s = 2 * self.bounds.most_cold
+            engine.max_per_s = 2 * self.bounds.most_cold
             engine.on_arrival = self._make_check(zone)
             if not is_first:
-                engine.cool(self.bounds.cold_s)
+                engine.start_cold(self.bounds.cold_s)
             self.running[address] = engine
             async with trio.open_nursery() as nursery:
                 await nursery.start(engine.run_until_crash, address)
@@ -180,7 +182,7 @@
             self.evacuated_at = None
             self.deployment.reopen(EVACUATED)
             for address in self._addresses(EVACUATED):
-                self.running[address].cool(self.bounds.cold_s)
+                self.running[address].start_cold(self.bounds.cold_s)
 
     async def _stop_engines(self) -> None:
         """Stop one engine after the other; each comes back cold."""
