--- a/packages/buckthornwall/src/buckthornwall/links/core.py
+++ b/packages/buckthornwall/src/buckthornwall/links/core.py
@@ -35,9 +35,9 @@
 
 NONCE_BYTES = 16
 MAX_FRAME_BYTES = 4 * 2**20
-QUEUE_LIMIT = 10_000
-REDIAL_FIRST_S = 0.05
-REDIAL_LIMIT_S = 1.0
+MAX_QUEUED_MESSAGES = 10_000
+MIN_REDIAL_DELAY_S = 0.05
+MAX_REDIAL_DELAY_S = 1.0
 
 Deliver = Callable[[NodeId, Message], None]
 
@@ -62,27 +62,27 @@
     tls_ca = ConfigItem("", "PEM file of the CA that signs all peers.")
 
 
-def proof(secret: str, nonce: bytes, node: NodeId, incarnation: Incarnation) -> bytes:
+def hello_mac(secret: str, nonce: bytes, node: NodeId, incarnation: Incarnation) -> bytes:
     """Return the code that proves `secret` to whoever chose `nonce`."""
     text = b"%b\0%b\0%d" % (nonce, node.encode(), incarnation)
     return hmac.digest(secret.encode(), text, "sha256")
 
 
-def _contexts(
+def _make_tls_contexts(
     settings: LinkSettings,
 ) -> tuple[ssl.SSLContext | None, ssl.SSLContext | None]:
     """Return the TLS contexts to listen and to dial with, both or neither."""
     if not settings.tls_certificate:
         return None, None
-    pair = []
+    contexts = []
     for purpose in (ssl.Purpose.CLIENT_AUTH, ssl.Purpose.SERVER_AUTH):
         context = ssl.create_default_context(purpose, cafile=settings.tls_ca)
         context.load_cert_chain(settings.tls_certificate, settings.tls_key)
         context.verify_mode = ssl.CERT_REQUIRED
         context.check_hostname = False  # peers are known by IP number and CA
-        pair.append(context)
-    pair[1].verify_mode = ssl.CERT_REQUIRED
-    return pair[0], pair[1]
+        contexts.append(context)
+    contexts[1].verify_mode = ssl.CERT_REQUIRED
+    return contexts[0], contexts[1]
 
 
 class _OutboundLink:
@@ -96,15 +96,15 @@
         self.up = False
         self.scope = trio.CancelScope()
 
-    def put(self, message: Message) -> bool:
+    def enqueue(self, message: Message) -> bool:
         """Queue a message; refuse it when the link is down or far behind."""
-        if not self.up or len(self.queue) >= QUEUE_LIMIT:
+        if not self.up or len(self.queue) >= MAX_QUEUED_MESSAGES:
             return False
         self.queue.append(message)
         self.wake.set()
         return True
 
-    async def take(self, linger_s: float) -> list[Message]:
+    async def take_batch(self, linger_s: float) -> list[Message]:
         """Wait for messages, linger for more, and return them all."""
         while not self.queue:
             self.wake = trio.Event()
@@ -146,9 +146,9 @@
         self.bytes_sent = 0
         self.bytes_received = 0
         self.messages_sent = 0
-        self._links: dict[NodeId, _OutboundLink] = {}
+        self._outbound_links: dict[NodeId, _OutboundLink] = {}
         self._nursery: trio.Nursery | None = None
-        self._listen_tls, self._dial_tls = _contexts(settings)
+        self._listen_tls, self._dial_tls = _make_tls_contexts(settings)
 
     @classmethod
     def from_config(
@@ -172,30 +172,30 @@
         if node == self.node:
             self.deliver(node, message)
             return True
-        link = self._links.get(node)
-        return link is not None and link.put(message)
+        link = self._outbound_links.get(node)
+        return link is not None and link.enqueue(message)
 
     def is_up(self, node: NodeId) -> bool:
         """Tell whether a link to the peer stands."""
-        link = self._links.get(node)
+        link = self._outbound_links.get(node)
         return node == self.node or (link is not None and link.up)
 
     def set_peer(self, node: NodeId, address: str) -> None:
         """Dial a peer, or dial it anew where its address has changed."""
         if node == self.node:
             return
-        link = self._links.get(node)
+        link = self._outbound_links.get(node)
         if link is not None:
             if link.address == address:
                 return
             link.scope.cancel()
         link = _OutboundLink(node, address)
-        self._links[node] = link
+        self._outbound_links[node] = link
         self._nursery.start_soon(self._dial_forever, link)
 
     def drop_peer(self, node: NodeId) -> None:
         """Stop dialling a peer."""
-        link = self._links.pop(node, None)
+        link = self._outbound_links.pop(node, None)
         if link is not None:
             link.scope.cancel()
 
@@ -242,7 +242,7 @@
         if len(messages) != 1 or not isinstance(messages[0], Hello):
             raise PeerError(ResultCode.PEER_UNAUTHENTICATED, "no hello")
         hello = messages[0]
-        expected = proof(
+        expected = hello_mac(
             self.settings.peer_secret, nonce, hello.node, hello.incarnation
         )
         if not hmac.compare_digest(expected, hello.mac):
@@ -262,7 +262,7 @@
                 self.deliver(peer, message)
 
     async def _dial_forever(self, link: _OutboundLink) -> None:
-        backoff = Backoff(REDIAL_FIRST_S, REDIAL_LIMIT_S)
+        backoff = Backoff(MIN_REDIAL_DELAY_S, MAX_REDIAL_DELAY_S)
         with link.scope:
             while True:
                 try:
@@ -281,9 +281,9 @@
     async def _dial(self, link: _OutboundLink, backoff: Backoff) -> None:
         scheme = "wss" if self._dial_tls else "ws"
         host, port = link.address.rsplit(":", 1)
-        own_host = self.settings.listen.rsplit(":", 1)[0]
+        local_host = self.settings.listen.rsplit(":", 1)[0]
         with trio.fail_after(self.settings.open_timeout_s):
-            stream = await trio.open_tcp_stream(host, int(port), local_address=own_host)
+            stream = await trio.open_tcp_stream(host, int(port), local_address=local_host)
         async with connect(
             f"{scheme}://{link.address}",
             stream=stream,
@@ -295,24 +295,24 @@
             open_timeout=self.settings.open_timeout_s,
             close_timeout=self.settings.open_timeout_s,
         ) as socket:
-            await self._introduce(socket)
+            await self._answer_challenge(socket)
             backoff.reset()
             link.up = True
             self.on_up(link.node)
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(self._watch_closing, socket, nursery.cancel_scope)
+                nursery.start_soon(self._wait_until_closed, socket, nursery.cancel_scope)
                 # Neither task may raise out of the nursery: a broken link is
                 # an everyday event, and the loop around dials again.
                 with suppress(WebSocketException):
                     await self._send_forever(socket, link)
                 nursery.cancel_scope.cancel()
 
-    async def _introduce(self, socket) -> None:
+    async def _answer_challenge(self, socket) -> None:
         with trio.fail_after(self.settings.open_timeout_s):
             messages = decode_batch(await socket.recv())
             if len(messages) != 1 or not isinstance(messages[0], Challenge):
                 raise PeerError(ResultCode.PEER_MESSAGE, "no challenge")
-            mac = proof(
+            mac = hello_mac(
                 self.settings.peer_secret,
                 messages[0].nonce,
                 self.node,
@@ -322,7 +322,7 @@
             hello = Hello(self.node, self.incarnation, address, mac)
             await socket.send(encode_batch([hello]))
 
-    async def _watch_closing(self, socket, scope: trio.CancelScope) -> None:
+    async def _wait_until_closed(self, socket, scope: trio.CancelScope) -> None:
         with suppress(WebSocketException):
             async for _ in socket:
                 pass  # nothing is sent this way after the challenge
@@ -331,7 +331,7 @@
     async def _send_forever(self, socket, link: _OutboundLink) -> None:
         linger_s = self.settings.linger_ms / 1000
         while True:
-            batch = await link.take(linger_s)
+            batch = await link.take_batch(linger_s)
             frame = encode_batch(batch)
             await socket.send(frame)
             self.bytes_sent += len(frame)
