--- a/packages/buckthornwall/src/buckthornwall/links/core.py
+++ b/packages/buckthornwall/src/buckthornwall/links/core.py
@@ -62,7 +62,9 @@
     tls_ca = ConfigItem("", "PEM file of the CA that signs all peers.")
 
 
-def hello_mac(secret: str, nonce: bytes, node: NodeId, incarnation: Incarnation) -> bytes:
+def hello_mac(
+    secret: str, nonce: bytes, node: NodeId, incarnation: Incarnation
+) -> bytes:
     """Return the code that proves `secret` to whoever chose `nonce`."""
     text = b"%b\0%b\0%d" % (nonce, node.encode(), incarnation)
     return hmac.digest(secret.encode(), text, "sha256")
@@ -283,7 +285,9 @@
         host, port = link.address.rsplit(":", 1)
         local_host = self.settings.listen.rsplit(":", 1)[0]
         with trio.fail_after(self.settings.open_timeout_s):
-            stream = await trio.open_tcp_stream(host, int(port), local_address=local_host)
+            stream = await trio.open_tcp_stream(
+                host, int(port), local_address=local_host
+            )
         async with connect(
             f"{scheme}://{link.address}",
             stream=stream,
@@ -300,7 +304,9 @@
             link.up = True
             self.on_up(link.node)
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(self._wait_until_closed, socket, nursery.cancel_scope)
+                nursery.start_soon(
+                    self._wait_until_closed, socket, nursery.cancel_scope
+                )
                 # Neither task may raise out of the nursery: a broken link is
                 # an everyday event, and the loop around dials again.
                 with suppress(WebSocketException):
--- a/packages/buckthornwall/src/buckthornwall/node/announcer.py
+++ b/packages/buckthornwall/src/buckthornwall/node/announcer.py
@@ -39,45 +39,45 @@
         self.hub = hub
         self.clock = clock
 
-    def dial(self) -> None:
+    def dial_members(self) -> None:
         """Keep a link to each member whose address is known."""
         for member in self.members.members.values():
             if member.address:
                 self.hub.set_peer(member.node, member.address)
 
-    def learn_seeds(self, seeds: list[str]) -> None:
+    def add_seeds(self, seeds: list[str]) -> None:
         """Take members from settings, as ``NODE=ADDRESS``, and dial them."""
         for seed in seeds:
             node, _, address = seed.partition("=")
-            self._learn(NodeId(node), address)
-        self.dial()
+            self._add_member(NodeId(node), address)
+        self.dial_members()
 
-    def introduce(self, node: NodeId, address: str) -> None:
+    def record_hello(self, node: NodeId, address: str) -> None:
         """Record that a member has made itself known."""
-        self._learn(node, address)
+        self._add_member(node, address)
         member = self.members.members[node]
         member.address = member.address or address
-        self.dial()
+        self.dial_members()
 
-    def _learn(self, node: NodeId, address: str) -> None:
+    def _add_member(self, node: NodeId, address: str) -> None:
         self.members.add_peer(PeerAddress(node, address, ZoneId("")), self.clock.now())
 
-    def greet(self, node: NodeId) -> None:
+    def send_member_list(self, node: NodeId) -> None:
         """Tell a member whose link is up of all others."""
         peers = [
             PeerAddress(member.node, member.address, member.zone)
             for member in self.members.members.values()
             if member.node != node and member.address
         ]
-        self.hub.send(node, self._heartbeat(peers))
+        self.hub.send(node, self._make_heartbeat(peers))
 
     def send_heartbeats(self) -> None:
         """Tell every member how this instance is."""
-        heartbeat = self._heartbeat([])
+        heartbeat = self._make_heartbeat([])
         for node in list(self.members.members):
             self.hub.send(node, heartbeat)
 
-    def _heartbeat(self, peers: list[PeerAddress]) -> Heartbeat:
+    def _make_heartbeat(self, peers: list[PeerAddress]) -> Heartbeat:
         return Heartbeat(
             self.incarnation,
             self.members.local_state,
--- a/packages/buckthornwall/src/buckthornwall/node/connections.py
+++ b/packages/buckthornwall/src/buckthornwall/node/connections.py
@@ -16,7 +16,7 @@
 __all__ = ["Connections"]
 
 BACKLOG = 1024
-REQUESTS_A_CONNECTION = 1_000_000
+MAX_REQUESTS_PER_CONNECTION = 1_000_000
 
 Serve = Callable[[Any, Any, Callable[[], Awaitable[None]], Any], Awaitable[None]]
 
@@ -48,12 +48,12 @@
         serve_operators: Serve | None = None,
     ) -> "Connections":
         """Build the pools; sockets and hypercorn unless told otherwise."""
-        most = settings.upstreams.max_connections
+        max_connections = settings.upstreams.max_connections
 
-        def pool(kept: int | None) -> httpcore.AsyncConnectionPool:
+        def pool(max_keepalive_connections: int | None) -> httpcore.AsyncConnectionPool:
             return httpcore.AsyncConnectionPool(
-                max_connections=most,
-                max_keepalive_connections=kept,
+                max_connections=max_connections,
+                max_keepalive_connections=max_keepalive_connections,
                 network_backend=backend,
             )
 
@@ -73,7 +73,7 @@
     config.bind = [listen]
     config.errorlog = None
     config.backlog = BACKLOG
-    config.keep_alive_max_requests = REQUESTS_A_CONNECTION
+    config.keep_alive_max_requests = MAX_REQUESTS_PER_CONNECTION
     return config
 
 
--- a/packages/buckthornwall/src/buckthornwall/node/core.py
+++ b/packages/buckthornwall/src/buckthornwall/node/core.py
@@ -57,15 +57,15 @@
 
 from .announcer import Announcer
 from .connections import Connections
+from .freshness import RecordsFreshness
 from .instance_list import InstanceListAgent
-from .loads import LoadPoller
-from .newest import NewestRecords
+from .load_poller import LoadPoller
 from .records_agent import RecordsAgent
 from .status import describe_node, render_metrics
 
 __all__ = ["Node"]
 
-BEAT_S = 0.1
+LIVENESS_CHECK_S = 0.1
 FLUSH_S = 0.2
 
 TO_SCHEDULER = (Enqueue, Release, Withdraw, SlotReport)
@@ -103,7 +103,7 @@
         self.zone = ZoneId(settings.node.zone)
         self.incarnation = Incarnation(new_id())
         self.stopping = trio.Event()
-        self.close_callers = trio.Event()
+        self.close_caller_listener = trio.Event()
 
         self.store = RecordStore()
         self.members = MemberTable(self.node, settings.membership)
@@ -138,7 +138,7 @@
             self.store,
             self.members,
             self.freeze,
-            lambda: self.newest.is_caught_up(),
+            lambda: self.freshness.is_caught_up(),
         )
 
     def _make_agents(self) -> None:
@@ -148,12 +148,12 @@
             self.store,
             self.clock,
             self.hub.send,
-            self._records_changed,
+            self._on_records_changed,
         )
         self.instances = InstanceListAgent(
-            self.records.platform, self.members, self.clock, self._list_changed
+            self.records.platform, self.members, self.clock, self._on_list_changed
         )
-        self.newest = NewestRecords(
+        self.freshness = RecordsFreshness(
             self.store, self.members, self.records, self.instances, self.clock
         )
         common = (
@@ -167,7 +167,7 @@
         )
         self.entry = EntryAgent(*common)
         self.scheduler = SchedulerAgent(*common)
-        self.loads = LoadPoller(
+        self.load_poller = LoadPoller(
             settings.scheduling,
             self.store,
             self.scheduler,
@@ -226,17 +226,17 @@
         )
 
     def _connect_events(self) -> None:
-        self.hub.on_hello = self._peer_introduced
-        self.hub.on_up = self._link_up
-        self.hub.on_down = self._link_down
-        self.freeze.listeners.append(self._after_freeze)
+        self.hub.on_hello = self._on_hello
+        self.hub.on_up = self._on_link_up
+        self.hub.on_down = self._on_link_down
+        self.freeze.listeners.append(self._on_freeze)
 
     # Messages
 
     def deliver(self, node: NodeId, message: Message) -> None:
         """Hand a peer's message to the part that it is for."""
         if isinstance(message, Heartbeat):
-            self._heartbeat(node, message)
+            self._receive_heartbeat(node, message)
         elif isinstance(message, TO_SCHEDULER):
             self.scheduler.deliver(node, message)
         elif isinstance(message, TO_ENTRY):
@@ -246,9 +246,9 @@
         elif isinstance(message, TO_IDEMPOTENCY):
             self.idempotency.handle(node, message)
 
-    def _heartbeat(self, node: NodeId, message: Heartbeat) -> None:
+    def _receive_heartbeat(self, node: NodeId, message: Heartbeat) -> None:
         now = self.clock.now()
-        self.newest.note_heard(now)
+        self.freshness.record_heartbeat_received(now)
         fresh = self.members.record_heartbeat(
             node, message.incarnation, message.state, message.zone, now
         )
@@ -257,39 +257,39 @@
         for peer in message.peers:
             self.members.add_peer(peer, now)
         if message.peers:
-            self.announcer.dial()
+            self.announcer.dial_members()
         self.records.handle(node, message)
         if fresh:
             self.entry.share_leases.renew()
 
-    def _peer_introduced(self, node: NodeId, address: str) -> None:
-        self.announcer.introduce(node, address)
+    def _on_hello(self, node: NodeId, address: str) -> None:
+        self.announcer.record_hello(node, address)
 
-    def _link_up(self, node: NodeId) -> None:
-        self.announcer.greet(node)
+    def _on_link_up(self, node: NodeId) -> None:
+        self.announcer.send_member_list(node)
         self.idempotency.transfer.send_moves(node)
 
-    def _link_down(self, node: NodeId) -> None:
+    def _on_link_down(self, node: NodeId) -> None:
         self.members.suspect(node, self.clock.now())
-        self._node_lost(node)
+        self._on_node_lost(node)
 
-    def _node_lost(self, node: NodeId) -> None:
+    def _on_node_lost(self, node: NodeId) -> None:
         self.scheduler.node_lost(node)
         self.entry.share_leases.renew()
 
-    def _after_freeze(self) -> None:
+    def _on_freeze(self) -> None:
         now = self.clock.now()
         log_event("freeze_detected", "WARNING", freezes=self.freeze.count)
-        self.newest.note_freeze(now)
+        self.freshness.record_freeze(now)
         self.members.suspect_all(now)
 
-    def _records_changed(self) -> None:
+    def _on_records_changed(self) -> None:
         self.scheduler.records_changed()
         self.entry.share_leases.renew()
         self.announcer.send_heartbeats()
 
-    def _list_changed(self) -> None:
-        self.announcer.dial()
+    def _on_list_changed(self) -> None:
+        self.announcer.dial_members()
         self.announcer.send_heartbeats()
 
     # What others ask
@@ -321,15 +321,15 @@
         async with trio.open_nursery() as nursery:
             await nursery.start(self.hub.run)
             await nursery.start(self.idempotency.run)
-            self.announcer.learn_seeds(self.settings.links.seeds)
+            self.announcer.add_seeds(self.settings.links.seeds)
             for task in (
-                self._beat,
-                self._heartbeats,
+                self._check_liveness,
+                self._send_heartbeats,
                 self.records.run,
                 self.instances.run,
                 self.scheduler.run,
                 self.entry.share_leases.run,
-                self.loads.run,
+                self.load_poller.run,
                 self.adapter_reconciler.run,
             ):
                 nursery.start_soon(task)
@@ -344,21 +344,21 @@
 
     async def _join(self) -> None:
         """Serve only once the newest records that can be heard of are in force."""
-        await self.newest.wait(self.stopping)
+        await self.freshness.wait_until_caught_up(self.stopping)
         self.members.set_local_state(NodeState.READY)
         self.announcer.send_heartbeats()
         log_event("ready", records=self.store.number)
 
-    async def _beat(self) -> None:
+    async def _check_liveness(self) -> None:
         """Look at the clock often, and at who has fallen silent."""
         while True:
             self.freeze.check()
             for node in self.members.expire(self.clock.now()):
                 log_event("member_suspected", "WARNING", member=node)
-                self._node_lost(node)
-            await trio.sleep(BEAT_S)
+                self._on_node_lost(node)
+            await trio.sleep(LIVENESS_CHECK_S)
 
-    async def _heartbeats(self) -> None:
+    async def _send_heartbeats(self) -> None:
         while True:
             self.announcer.send_heartbeats()
             await trio.sleep(self.settings.membership.heartbeat_s)
@@ -374,7 +374,10 @@
     async def _serve_callers(self, ended: trio.Event) -> None:
         settings = self.settings.gateway
         await self.connections.serve_callers(
-            self.app, settings, self.close_callers.wait, trio.TASK_STATUS_IGNORED
+            self.app,
+            settings,
+            self.close_caller_listener.wait,
+            trio.TASK_STATUS_IGNORED,
         )
         ended.set()
 
@@ -393,7 +396,7 @@
         self.scheduler.resign()
         self.entry.share_leases.renew()
         await trio.sleep(self.settings.gateway.drain_s)
-        self.close_callers.set()
+        self.close_caller_listener.set()
         with trio.move_on_after(self.settings.gateway.stop_limit_s):
             await self.app.wait_idle()
             await callers_closed.wait()
--- a/packages/buckthornwall/src/buckthornwall/node/newest.py
+++ b/packages/buckthornwall/src/buckthornwall/node/freshness.py
@@ -12,16 +12,16 @@
 from .instance_list import InstanceListAgent
 from .records_agent import RecordsAgent
 
-__all__ = ["NewestRecords"]
+__all__ = ["RecordsFreshness"]
 
 CATCH_UP_S = 0.5
-JOIN_LIMIT_S = 3.0
-JOIN_LOOK_S = 0.02
+JOIN_TIMEOUT_S = 3.0
+JOIN_POLL_S = 0.02
 NEVER = -math.inf
 
 
-class NewestRecords:
-    """What an instance has heard since it began, or woke up.
+class RecordsFreshness:
+    """What an instance has received since it began, or woke up.
 
     Parameters
     ----------
@@ -32,8 +32,8 @@
 
     Attributes
     ----------
-    heard_at : float
-        When any member was last heard.
+    last_received_at : float
+        When any member was last received.
     """
 
     def __init__(
@@ -49,14 +49,14 @@
         self.records = records
         self.instances = instances
         self.clock = clock
-        self.heard_at = clock.now()
+        self.last_received_at = clock.now()
         self._last_freeze = NEVER
 
-    def note_heard(self, now: float) -> None:
-        """Record that a member was heard."""
-        self.heard_at = now
+    def record_heartbeat_received(self, now: float) -> None:
+        """Record that a member was received."""
+        self.last_received_at = now
 
-    def note_freeze(self, now: float) -> None:
+    def record_freeze(self, now: float) -> None:
         """Record that this instance was paused until now."""
         self._last_freeze = now
 
@@ -64,22 +64,24 @@
         """Tell whether what is in force here can be taken for the newest.
 
         After a freeze the sockets still hold what came meanwhile, oldest
-        first, so only what is heard a while after waking counts.
+        first, so only what is received a while after waking counts.
         """
         if self.members.local_state is not NodeState.READY or self.records.is_stale:
             return False
         alone = not self.members.members
-        heard = max(self.heard_at, self.records.platform_ok_at or NEVER)
-        return alone or heard > self._last_freeze + CATCH_UP_S
+        received = max(
+            self.last_received_at, self.records.last_platform_answer_at or NEVER
+        )
+        return alone or received > self._last_freeze + CATCH_UP_S
 
-    async def wait(self, stopping: trio.Event) -> None:
-        """Wait until the newest records that can be heard of are in force."""
-        deadline = self.clock.now() + JOIN_LIMIT_S
-        while not stopping.is_set() and not self._has_asked_all(deadline):
-            await trio.sleep(JOIN_LOOK_S)
+    async def wait_until_caught_up(self, stopping: trio.Event) -> None:
+        """Wait until the newest records that can be received of are in force."""
+        deadline = self.clock.now() + JOIN_TIMEOUT_S
+        while not stopping.is_set() and not self._is_initial_sync_done(deadline):
+            await trio.sleep(JOIN_POLL_S)
 
-    def _has_asked_all(self, deadline: float) -> bool:
-        """Tell whether the newest records that can be heard of are in force.
+    def _is_initial_sync_done(self, deadline: float) -> bool:
+        """Tell whether the newest records that can be received of are in force.
 
         Some peers may be dead and still listed, so the wait for all of them
         has a limit; but where any is known, at least one must have answered,
@@ -87,10 +89,10 @@
         """
         if self.store.view is None or self.records.is_stale:
             return False
-        heard = [
+        received = [
             member.last_heartbeat_at is not None
             for member in self.members.members.values()
         ]
         if self.clock.now() >= deadline:
-            return any(heard) or not heard
-        return self.records.asked_platform and self.instances.asked and all(heard)
+            return any(received) or not received
+        return self.records.polled_platform and self.instances.polled and all(received)
--- a/packages/buckthornwall/src/buckthornwall/node/instance_list.py
+++ b/packages/buckthornwall/src/buckthornwall/node/instance_list.py
@@ -12,7 +12,7 @@
 
 __all__ = ["InstanceListAgent"]
 
-FIRST_RETRY_S = 0.1
+MIN_RETRY_DELAY_S = 0.1
 
 
 class InstanceListAgent:
@@ -26,7 +26,7 @@
         The table to keep.
     clock
         Source of time.
-    changed
+    on_change
         Called after each list that was applied.
     """
 
@@ -35,28 +35,28 @@
         platform: PlatformClient,
         members: MemberTable,
         clock: Clock,
-        changed: Callable[[], None],
+        on_change: Callable[[], None],
     ) -> None:
         self.platform = platform
         self.members = members
         self.clock = clock
-        self.changed = changed
+        self.on_change = on_change
         self.number = 0
-        self.asked = False
+        self.polled = False
 
     async def run(self) -> None:
         """Watch the platform for ever, through its outages."""
         settings = self.platform.settings
-        backoff = Backoff(FIRST_RETRY_S, settings.retry_limit_s)
+        backoff = Backoff(MIN_RETRY_DELAY_S, settings.retry_limit_s)
         wait_s = 0.0
         while True:
             try:
                 listed = await self.platform.watch_instances(wait_s)
             except PeerError:
-                self.asked = True
+                self.polled = True
                 await trio.sleep(backoff.next_delay())
                 continue
-            self.asked = True
+            self.polled = True
             wait_s = settings.watch_s
             if listed is not None and listed.number > self.number:
                 backoff.reset()
@@ -82,4 +82,4 @@
                 self.members.mark_leaving(UpstreamId(each.id), now, first_hand=True)
             else:
                 self.members.clear_leaving(UpstreamId(each.id))
-        self.changed()
+        self.on_change()
--- a/packages/buckthornwall/src/buckthornwall/node/loads.py
+++ b/packages/buckthornwall/src/buckthornwall/node/load_poller.py
@@ -27,7 +27,7 @@
         Records in force, and whose engines to poll.
     engines
         Client of the engines.
-    is_leaving
+    on_leaving
         Told of an engine that says it is leaving.
     """
 
@@ -37,13 +37,13 @@
         store: RecordStore,
         scheduler: SchedulerAgent,
         engines: EngineClient,
-        is_leaving: Callable[[UpstreamId], None],
+        on_leaving: Callable[[UpstreamId], None],
     ) -> None:
         self.settings = settings
         self.store = store
         self.scheduler = scheduler
         self.engines = engines
-        self.is_leaving = is_leaving
+        self.on_leaving = on_leaving
 
     async def run(self) -> None:
         """Poll again and again."""
@@ -65,4 +65,4 @@
         in_use, leaving = report
         engine.receive_load_report(in_use)
         if leaving:
-            self.is_leaving(engine_id)
+            self.on_leaving(engine_id)
--- a/packages/buckthornwall/src/buckthornwall/node/main.py
+++ b/packages/buckthornwall/src/buckthornwall/node/main.py
@@ -52,8 +52,8 @@
     early
         Listeners that were opened before this module was imported.
     """
-    for number in STOP_SIGNALS:
-        signal.signal(number, _end_before_start)
+    for signal_number in STOP_SIGNALS:
+        signal.signal(signal_number, _exit_before_start)
     options = build_parser().parse_args(arguments)
     early = early or EarlyListeners()
     try:
@@ -67,7 +67,7 @@
     return 0
 
 
-def _end_before_start(number: int, frame: FrameType | None) -> None:
+def _exit_before_start(signal_number: int, frame: FrameType | None) -> None:
     """End a process that has nothing to finish, since it serves nobody yet."""
     raise SystemExit(0)
 
--- a/packages/buckthornwall/src/buckthornwall/node/records_agent.py
+++ b/packages/buckthornwall/src/buckthornwall/node/records_agent.py
@@ -13,9 +13,9 @@
 
 __all__ = ["RecordsAgent"]
 
-ASK_AGAIN_S = 0.3
-FIRST_RETRY_S = 0.1
-FIRST_WAIT_S = 0.0
+REQUEST_INTERVAL_S = 0.3
+MIN_RETRY_DELAY_S = 0.1
+FIRST_WATCH_S = 0.0
 
 
 class RecordsAgent:
@@ -31,7 +31,7 @@
         Source of time.
     send
         Sends a message to an instance.
-    changed
+    on_change
         Called after each adoption.
     """
 
@@ -41,38 +41,40 @@
         store: RecordStore,
         clock: Clock,
         send: Callable[[NodeId, Message], bool],
-        changed: Callable[[], None],
+        on_change: Callable[[], None],
     ) -> None:
         self.platform = platform
         self.store = store
         self.clock = clock
         self.send = send
-        self.changed = changed
-        self.asked_platform = False
-        self.platform_ok_at: float | None = None
-        self._asked_at: dict[NodeId, float] = {}
-        self._shown: dict[NodeId, tuple[int, str]] = {}
+        self.on_change = on_change
+        self.polled_platform = False
+        self.last_platform_answer_at: float | None = None
+        self._requested_at: dict[NodeId, float] = {}
+        self._advertised: dict[NodeId, tuple[int, str]] = {}
 
     @property
     def is_stale(self) -> bool:
-        """Whether a peer has shown records newer than those in force."""
-        return any(self.store.is_newer(*shown) for shown in self._shown.values())
+        """Whether a peer has advertised records newer than those in force."""
+        return any(
+            self.store.is_newer(*advertised) for advertised in self._advertised.values()
+        )
 
     async def run(self) -> None:
         """Watch the platform for ever, through its outages."""
         settings = self.platform.settings
-        backoff = Backoff(FIRST_RETRY_S, settings.retry_limit_s)
-        wait_s = FIRST_WAIT_S
+        backoff = Backoff(MIN_RETRY_DELAY_S, settings.retry_limit_s)
+        wait_s = FIRST_WATCH_S
         while True:
             try:
                 raw = await self.platform.watch_records(wait_s)
             except PeerError as error:
                 log_event("platform_unreachable", "WARNING", detail=error)
-                self.asked_platform = True
+                self.polled_platform = True
                 await trio.sleep(backoff.next_delay())
                 continue
-            self.asked_platform = True
-            self.platform_ok_at = self.clock.now()
+            self.polled_platform = True
+            self.last_platform_answer_at = self.clock.now()
             wait_s = settings.watch_s
             if raw is not None and self.offer(raw, "platform") is Adoption.ADOPTED:
                 backoff.reset()
@@ -91,7 +93,7 @@
                 source=source,
                 refused=len(self.store.view.refused),
             )
-            self.changed()
+            self.on_change()
         elif adoption is Adoption.REFUSED:
             log_event(
                 "records_refused",
@@ -104,20 +106,23 @@
     def handle(self, node: NodeId, message: Message) -> None:
         """Take one message from a peer."""
         if isinstance(message, Heartbeat):
-            self._compare(node, message)
+            self._request_newer(node, message)
         elif isinstance(message, RecordsRequest):
             view = self.store.view
             self.send(node, RecordsReply(view.raw if view else b""))
         elif isinstance(message, RecordsReply) and message.raw:
             self.offer(message.raw, node)
 
-    def _compare(self, node: NodeId, message: Heartbeat) -> None:
+    def _request_newer(self, node: NodeId, message: Heartbeat) -> None:
         """Ask a peer for its records if its heartbeat shows newer ones."""
         number, digest = message.records_number, message.records_digest
-        self._shown[node] = (number, digest)
+        self._advertised[node] = (number, digest)
         if not self.store.is_newer(number, digest):
             return
         now = self.clock.now()
-        if now - self._asked_at.get(node, -ASK_AGAIN_S) >= ASK_AGAIN_S:
-            self._asked_at[node] = now
+        if (
+            now - self._requested_at.get(node, -REQUEST_INTERVAL_S)
+            >= REQUEST_INTERVAL_S
+        ):
+            self._requested_at[node] = now
             self.send(node, RecordsRequest())
