--- a/packages/buckthornwall/src/buckthornwall/records/core.py
+++ b/packages/buckthornwall/src/buckthornwall/records/core.py
@@ -97,10 +97,10 @@
     number, entries = _decode_envelope(raw)
     view = RecordView(number, digest_of(raw), raw)
     unknown: set[tuple[str, str]] = set()
-    chosen_schema: dict[tuple[str, str], int] = {}
+    chosen_schemas: dict[tuple[str, str], int] = {}
     for index, entry in enumerate(entries):
-        _take_entry(view, f"records[{index}]", entry, unknown, chosen_schema)
-    _check_references(view, unknown - set(chosen_schema))
+        _add_entry(view, f"records[{index}]", entry, unknown, chosen_schemas)
+    _check_references(view, unknown - set(chosen_schemas))
     for team in view.teams.values():
         for key_hash in team.key_sha256:
             view.team_by_key_hash[key_hash] = team
@@ -123,51 +123,51 @@
     return number, entries
 
 
-def _take_entry(
+def _add_entry(
     view: RecordView,
     path: str,
     entry: Any,
     unknown: set[tuple[str, str]],
-    chosen_schema: dict[tuple[str, str], int],
+    chosen_schemas: dict[tuple[str, str], int],
 ) -> None:
-    kind, schema, ident = _identify(path, entry)
+    kind, schema, record_id = _identify(path, entry)
     if schema not in SCHEMAS[kind]:
-        unknown.add((kind, ident))
+        unknown.add((kind, record_id))
         view.refused.append(
-            (ResultCode.RECORD_SCHEMA, f"{path} {kind} {ident} schema {schema}")
+            (ResultCode.RECORD_SCHEMA, f"{path} {kind} {record_id} schema {schema}")
         )
         return
     try:
         record = convert(entry, kind, schema)
     except msgspec.ValidationError as error:
         raise RecordError(
-            ResultCode.RECORD_INVALID, f"{path} {kind} {ident}: {error}"
+            ResultCode.RECORD_INVALID, f"{path} {kind} {record_id}: {error}"
         ) from error
-    seen = chosen_schema.get((kind, ident))
+    seen = chosen_schemas.get((kind, record_id))
     if seen == schema:
         raise RecordError(
-            ResultCode.RECORD_INVALID, f"{path} {kind} {ident}: stands twice"
+            ResultCode.RECORD_INVALID, f"{path} {kind} {record_id}: stands twice"
         )
     if seen is None or schema > seen:
-        chosen_schema[kind, ident] = schema
-        view.table(kind)[ident] = record
+        chosen_schemas[kind, record_id] = schema
+        view.table(kind)[record_id] = record
 
 
 def _identify(path: str, entry: Any) -> tuple[str, int, str]:
     if not isinstance(entry, dict):
         raise RecordError(ResultCode.RECORD_INVALID, f"{path}: expected an object")
-    kind, schema, ident = entry.get("kind"), entry.get("schema"), entry.get("id")
+    kind, schema, record_id = entry.get("kind"), entry.get("schema"), entry.get("id")
     if not isinstance(kind, str) or kind not in SCHEMAS:
         raise RecordError(ResultCode.RECORD_INVALID, f"{path}.kind: not known")
     if type(schema) is not int or schema < 1:
         raise RecordError(ResultCode.RECORD_INVALID, f"{path}.schema: expected 1 up")
-    if not isinstance(ident, str) or not ident:
+    if not isinstance(record_id, str) or not record_id:
         raise RecordError(ResultCode.RECORD_INVALID, f"{path}.id: expected a name")
-    return kind, schema, ident
+    return kind, schema, record_id
 
 
 def _references(view: RecordView) -> list[tuple[str, str, str, str]]:
-    """List ``(kind, id, kind named, id named)`` for every reference."""
+    """List ``(kind, id, target kind, target id)`` for every reference."""
     found = [
         ("team", team.id, "class", class_id)
         for team in view.teams.values()
@@ -188,14 +188,14 @@
 def _check_references(view: RecordView, unknown: set[tuple[str, str]]) -> None:
     """Refuse dangling references; drop what depends on an unknown schema."""
     dropped: dict[str, set[str]] = defaultdict(set)
-    for kind, ident, named_kind, named in _references(view):
-        if named in view.table(named_kind):
+    for kind, record_id, target_kind, target_id in _references(view):
+        if target_id in view.table(target_kind):
             continue
-        detail = f"{kind} {ident} names {named_kind} {named}"
-        if (named_kind, named) not in unknown:
+        detail = f"{kind} {record_id} names {target_kind} {target_id}"
+        if (target_kind, target_id) not in unknown:
             raise RecordError(ResultCode.RECORD_REFERENCE, detail)
         view.refused.append((ResultCode.RECORD_REFERENCE, detail))
-        dropped[kind].add(ident)
-    for kind, idents in dropped.items():
-        for ident in idents:
-            del view.table(kind)[ident]
+        dropped[kind].add(record_id)
+    for kind, record_ids in dropped.items():
+        for record_id in record_ids:
+            del view.table(kind)[record_id]
--- a/packages/buckthornwall/src/buckthornwall/records/schema.py
+++ b/packages/buckthornwall/src/buckthornwall/records/schema.py
@@ -237,16 +237,16 @@
     )
 
 
-def _same(record: Any) -> Any:
+def _unchanged(record: Any) -> Any:
     return record
 
 
 SCHEMAS: dict[str, dict[int, tuple[type[Struct], Callable[[Any], Any]]]] = {
-    "class": {1: (_ServiceClassV1, _upgrade_class), 2: (ServiceClass, _same)},
-    "team": {1: (_TeamV1, _upgrade_team), 2: (Team, _same)},
-    "model": {1: (_ModelV1, _upgrade_model), 2: (Model, _same)},
-    "route": {1: (_RouteV1, _upgrade_route), 2: (Route, _same)},
-    "upstream": {1: (_UpstreamV1, _upgrade_upstream), 2: (Upstream, _same)},
+    "class": {1: (_ServiceClassV1, _upgrade_class), 2: (ServiceClass, _unchanged)},
+    "team": {1: (_TeamV1, _upgrade_team), 2: (Team, _unchanged)},
+    "model": {1: (_ModelV1, _upgrade_model), 2: (Model, _unchanged)},
+    "route": {1: (_RouteV1, _upgrade_route), 2: (Route, _unchanged)},
+    "upstream": {1: (_UpstreamV1, _upgrade_upstream), 2: (Upstream, _unchanged)},
 }
 
 
--- a/packages/buckthornwall/src/buckthornwall/records/store.py
+++ b/packages/buckthornwall/src/buckthornwall/records/store.py
@@ -29,7 +29,7 @@
     def __init__(self) -> None:
         self.view: RecordView | None = None
         self.last_error: RecordError | None = None
-        self.refused: set[str] = set()
+        self.refused_digests: set[str] = set()
 
     @property
     def number(self) -> int:
@@ -44,7 +44,7 @@
     def is_newer(self, number: int, digest: str) -> bool:
         """Tell whether a set of this number and digest would replace ours."""
         newer = (number, digest) > (self.number, self.digest)
-        return newer and digest not in self.refused
+        return newer and digest not in self.refused_digests
 
     def offer(self, raw: bytes) -> Adoption:
         """Adopt `raw` if it is valid and newer than what is in force."""
@@ -52,7 +52,7 @@
             view = parse_records(raw)
         except RecordError as error:
             self.last_error = error
-            self.refused.add(digest_of(raw))
+            self.refused_digests.add(digest_of(raw))
             return Adoption.REFUSED
         if (view.number, view.digest) == (self.number, self.digest):
             return Adoption.SAME
--- a/packages/buckthornwall/src/buckthornwall/records/tests/test_records.py
+++ b/packages/buckthornwall/src/buckthornwall/records/tests/test_records.py
@@ -122,7 +122,7 @@
     bad = with_record({"kind": "class", "schema": 2, "id": "x"}, number=9)
     assert store.offer(bad) is Adoption.REFUSED
     assert store.number == 1
-    digest = next(iter(store.refused))
+    digest = next(iter(store.refused_digests))
     assert not store.is_newer(9, digest)
     assert store.is_newer(9, "another")
 
