--- a/packages/buckthornwall/src/buckthornwall/idempotency/__init__.py
+++ b/packages/buckthornwall/src/buckthornwall/idempotency/__init__.py
@@ -1,4 +1,4 @@
-"""Calls that may run at most once: keys that name their owner."""
+"""At-most-once calls, by idempotency keys that name the owning instance."""
 
 from .agent import IdempotencyAgent
 from .calls import CallRequest, CallResult
--- a/packages/buckthornwall/src/buckthornwall/idempotency/agent.py
+++ b/packages/buckthornwall/src/buckthornwall/idempotency/agent.py
@@ -1,7 +1,7 @@
-"""The tasks around the ledgers: run a call here, or hand it to its owner.
+"""Run calls under idempotency keys, locally or at the instance that owns the key.
 
-Only the owner that a key names opens the upstream call, or whoever the owner's
-ledger was handed to.
+Only the owner that a key names, or the instance that its ledger was handed to,
+makes the upstream call.
 """
 
 from collections.abc import Awaitable, Callable
@@ -45,7 +45,7 @@
 
 @dataclass
 class _PendingForward:
-    """A call that waits here for its owner's answer."""
+    """A call that was forwarded to its key's owner and awaits the outcome."""
 
     outcome: CallOutcome | None = None
     updated: trio.Event = field(default_factory=trio.Event)
@@ -56,24 +56,24 @@
 
 
 class IdempotencyAgent:
-    """Owns the ledgers held by this instance, its own and inherited ones.
+    """Runs calls under the ledgers of this instance, both its own and adopted ones.
 
     Parameters
     ----------
     node, incarnation
-        This instance; its own keys carry both.
+        Id and incarnation of this instance, named in the keys that it issues.
     clock, settings
         The clock and the ``[idempotency]`` section.
     key_codec
-        Writes and reads keys.
+        Encodes and decodes keys.
     members
-        The view of the fleet.
+        Table of the known instances.
     send
         Sends a message to an instance.
     is_up
-        Tells whether a link to an instance stands.
+        Returns whether the link to an instance is up.
     dispatch
-        Runs a call once; raises `UpstreamError` saying whether it was sent.
+        Runs a call once; raises `UpstreamError`, which tells whether it was sent.
     """
 
     def __init__(
@@ -111,24 +111,24 @@
         self._nursery: trio.Nursery | None = None
 
     async def run(self, *, task_status=trio.TASK_STATUS_IGNORED) -> None:
-        """Keep the nursery in which calls run, apart from their callers."""
+        """Hold the nursery in which calls run independently of their callers."""
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
             task_status.started()
             await trio.sleep_forever()
 
     def issue(self) -> str:
-        """Return the text of a fresh key of this instance."""
+        """Issue a new key of this instance and return its text form."""
         key = IdempotencyKey(self.node, self.incarnation, self.local_ledger.issue())
         return self.key_codec.encode(key)
 
     async def call(self, text: str, request: CallRequest) -> StoredOutcome:
-        """Run the call under its key, here or at the key's owner.
+        """Run the call under its key, locally or at the key's owner.
 
         Raises
         ------
         Refusal
-            Saying whether the call ran: no, or unknown.
+            If the call did not run, or if that is unknown; `run` tells which.
         """
         key = self.key_codec.decode(text)
         if key is None:
@@ -137,7 +137,7 @@
             return await self._call_locally(key, request)
         return await self._call_remotely(key, text, request)
 
-    # At the owner
+    # Calls under ledgers held here
 
     async def _call_locally(
         self, key: IdempotencyKey, request: CallRequest
@@ -175,7 +175,7 @@
         request: CallRequest,
         completed: trio.Event,
     ) -> None:
-        """Make the one upstream call of a key that was marked DISPATCHED."""
+        """Make the only upstream call of a key that was marked DISPATCHED."""
         try:
             with trio.fail_after(request.timeout_s):
                 outcome = await self.dispatch(request)
@@ -198,16 +198,16 @@
     async def _call_successor(
         self, key: IdempotencyKey, request: CallRequest
     ) -> StoredOutcome:
-        """Wait until a sealed ledger is handed over, then ask its new holder."""
+        """Wait until a sealed ledger is handed over, then forward to its new holder."""
         return await self._call_remotely(key, self.key_codec.encode(key), request)
 
-    # At any other instance
+    # Calls under ledgers held elsewhere
 
     def _holder(self, key: IdempotencyKey) -> NodeId:
         return self.successors.get((key.owner, key.incarnation), key.owner)
 
     def _has_owner_ended(self, key: IdempotencyKey) -> bool:
-        """Tell whether the owner's incarnation is known to have completed."""
+        """Return whether the owner's incarnation is known to have ended."""
         owner = (key.owner, key.incarnation)
         if owner in self.successors or owner in self.ledgers:
             return False
@@ -223,9 +223,9 @@
     async def _call_remotely(
         self, key: IdempotencyKey, text: str, request: CallRequest
     ) -> StoredOutcome:
-        """Hand the call to the key's owner, again and again until it answers.
+        """Forward the call to the key's owner, repeatedly until it answers.
 
-        Repeating is safe: the owner's ledger joins what it has begun.
+        Repeating is safe: the owner's ledger joins a repeat to the call in flight.
         """
         call = RequestId(new_id())
         forwarded = self._pending_forwards[call] = _PendingForward()
@@ -269,17 +269,17 @@
             await updated.wait()
 
     async def _wait_for_link(self, holder: NodeId) -> bool:
-        """Wait a little for a link; False if none comes up."""
+        """Wait up to `owner_patience_s`; return whether a link came up."""
         with trio.move_on_after(self.settings.owner_patience_s):
             while not self.is_up(holder):
                 await trio.sleep(self.settings.forward_repeat_s / 4)
             return True
         return False
 
-    # What arrives
+    # Messages from peers
 
     def handle(self, node: NodeId, message: Message) -> None:
-        """Take one message from a peer."""
+        """Process one message from a peer."""
         if isinstance(message, CallForward):
             if message.call not in self._active_forwards:
                 self._active_forwards.add(message.call)
@@ -312,7 +312,10 @@
     async def _answer_forward(
         self, node: NodeId, message: CallForward, request: CallRequest
     ) -> CallOutcome | None:
-        """Run a forwarded call if its ledger is here; else stay silent."""
+        """Run a forwarded call if its ledger is held here.
+
+        Returns None if the sender is to repeat the call at another instance.
+        """
         key = self.key_codec.decode(message.key)
         if key is None:
             code = ResultCode.KEY_FOREIGN
@@ -322,7 +325,7 @@
         if ledger is None:
             return self._answer_without_ledger(node, message.call, owner)
         if ledger.sealed:
-            return None  # the asker asks again once it hears of the successor
+            return None  # the sender repeats the call once it knows the successor
         try:
             outcome = await self.call(message.key, request)
         except Refusal as error:
@@ -340,7 +343,7 @@
     def _answer_without_ledger(
         self, node: NodeId, call: RequestId, owner: OwnerId
     ) -> CallOutcome | None:
-        """Say where the keys went, or that whoever held them is gone."""
+        """Report the ledger's new holder, or answer that the outcome is unknown."""
         if owner in self.successors:
             self.send(node, LedgerMoved(*owner, self.successors[owner]))
             return None
--- a/packages/buckthornwall/src/buckthornwall/idempotency/calls.py
+++ b/packages/buckthornwall/src/buckthornwall/idempotency/calls.py
@@ -1,4 +1,4 @@
-"""A call to a plain service, and what tells it from any other."""
+"""A call to a plain service and its fingerprint."""
 
 from dataclasses import dataclass
 from hashlib import blake2b
@@ -14,7 +14,7 @@
 
 @dataclass
 class CallRequest:
-    """One call to a plain service that may not be repeated."""
+    """One call to a plain service that must not run twice."""
 
     route: str
     team: TeamId
@@ -25,7 +25,7 @@
     timeout_s: float
 
     def fingerprint(self) -> str:
-        """Return a digest of everything that makes it this call."""
+        """Return a digest of the route, team, method, path and body."""
         digest = blake2b(digest_size=12)
         for part in (self.route, self.team, self.method, self.path):
             digest.update(part.encode() + b"\0")
--- a/packages/buckthornwall/src/buckthornwall/idempotency/keys.py
+++ b/packages/buckthornwall/src/buckthornwall/idempotency/keys.py
@@ -1,4 +1,4 @@
-"""The text form of an idempotency key, which names its owner."""
+"""Text form of idempotency keys, which name the instance that issued them."""
 
 import hmac
 from dataclasses import dataclass
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True)
 class IdempotencyKey:
-    """Owner, the owner's incarnation, and a serial number of the owner's."""
+    """The issuing instance, its incarnation, and a serial number."""
 
     owner: NodeId
     incarnation: Incarnation
@@ -22,12 +22,12 @@
 
 
 class KeyCodec:
-    """Writes and reads keys; a code proves that this fleet issued one.
+    """Encodes and decodes keys; a MAC proves that this fleet issued the key.
 
     Parameters
     ----------
     secret
-        The secret that the instances of the fleet share.
+        Secret shared by the instances of the fleet.
     """
 
     def __init__(self, secret: str) -> None:
@@ -37,7 +37,7 @@
         return hmac.digest(self.secret, body.encode(), "sha256").hex()[:MAC_CHARS]
 
     def encode(self, key: IdempotencyKey) -> str:
-        """Return the key's text, safe in a header."""
+        """Return the text of the key, which is valid in a header."""
         body = SEPARATOR.join(
             [VERSION, key.owner, f"{key.incarnation:x}", f"{key.serial:x}"]
         )
--- a/packages/buckthornwall/src/buckthornwall/idempotency/ledger.py
+++ b/packages/buckthornwall/src/buckthornwall/idempotency/ledger.py
@@ -1,13 +1,13 @@
-"""What an owner knows of its keys: a pure state machine.
+"""State of the idempotency keys that one instance issued, without any I/O.
 
-A key that was issued and is not in the ledger has never been used. The states
-of a used key only ever move forward::
+A key that was issued and is not in the ledger has never been used. The state
+of a used key only moves forward::
 
     (unused) -> DISPATCHED -> DONE | UNKNOWN | VOID
     (unused) -> VOID
 
-DISPATCHED is entered before the first byte of the call leaves, and nothing
-leads back from it to a state in which the call could be sent.
+DISPATCHED is entered before the first byte of the call is sent, and no transition
+leads from it back to a state in which the call could be sent.
 """
 
 from dataclasses import dataclass
@@ -20,7 +20,7 @@
 
 
 class KeyState(Enum):
-    """State of a key that has been used."""
+    """State of a used key."""
 
     DISPATCHED = 1
     DONE = 2
@@ -29,7 +29,7 @@
 
 
 class BeginResult(Enum):
-    """What the holder of a key may do now."""
+    """What the holder of a ledger may do with a call, by `KeyLedger.begin`."""
 
     DISPATCH = "dispatch"
     JOIN = "join"
@@ -44,7 +44,7 @@
 
 @dataclass
 class StoredOutcome:
-    """A service's answer, kept for repeats of the call."""
+    """A service's response, stored to answer repeats of the call."""
 
     status: int
     headers: list[tuple[str, str]]
@@ -59,15 +59,15 @@
 
 
 class KeyLedger:
-    """Keys of one owner's incarnation.
+    """Ledger of the keys that one incarnation of an instance issued.
 
     Parameters
     ----------
     owner, incarnation
-        Whose keys these are.
+        The instance that issued the keys.
     max_used_keys
-        Used keys to remember; older ones are answered as expired, since what
-        became of them is no longer known.
+        Number of used keys to remember; older ones count as expired, since their
+        outcome is no longer known.
     """
 
     def __init__(
@@ -88,14 +88,14 @@
         return serial
 
     def begin(self, serial: int, fingerprint: str) -> BeginResult:
-        """Ask to run the call under a key; DISPATCH marks it as sent.
+        """Claim a key for a call; with DISPATCH the key is marked as dispatched.
 
         Parameters
         ----------
         serial
-            The key's serial number.
+            Serial number of the key.
         fingerprint
-            Digest of the whole call, to catch a key used for two calls.
+            Digest of the whole call, to detect a key that is used for two calls.
         """
         if self.sealed:
             return BeginResult.SEALED
@@ -118,20 +118,20 @@
         }[entry.state]
 
     def record_outcome(self, serial: int, outcome: StoredOutcome) -> None:
-        """Note the service's answer to a dispatched call."""
+        """Store the service's response to a dispatched call."""
         entry = self._entries[serial]
         if entry.state is KeyState.DISPATCHED:
             entry.state = KeyState.DONE
             entry.outcome = outcome
 
     def mark_unknown(self, serial: int) -> None:
-        """Note that a dispatched call's outcome will never be known here."""
+        """Record that the outcome of a dispatched call will never be known here."""
         entry = self._entries[serial]
         if entry.state is KeyState.DISPATCHED:
             entry.state = KeyState.UNKNOWN
 
     def mark_void(self, serial: int) -> None:
-        """Note that no byte of the call was sent and none ever will be."""
+        """Record that no byte of the call was sent and none will be."""
         entry = self._entries[serial]
         if entry.state is KeyState.DISPATCHED:
             entry.state = KeyState.VOID
@@ -142,7 +142,7 @@
         return entry.state if entry else None
 
     def outcome(self, serial: int) -> StoredOutcome | None:
-        """Return the kept answer of a key that is DONE."""
+        """Return the stored response of a key that is DONE, otherwise None."""
         entry = self._entries.get(serial)
         return entry.outcome if entry else None
 
@@ -157,17 +157,17 @@
             self.oldest_serial = max(self.oldest_serial, serial + 1)
 
     def seal(self) -> None:
-        """Begin nothing more; what was begun may still end."""
+        """Accept no further calls; those in flight may still finish."""
         self.sealed = True
 
     def in_flight(self) -> int:
-        """Count the calls that were begun and have not ended."""
+        """Return the number of calls that were dispatched and have not finished."""
         return sum(
             entry.state is KeyState.DISPATCHED for entry in self._entries.values()
         )
 
     def export_entries(self) -> list[KeyEntry]:
-        """Return every used key, for a hand-over."""
+        """Return all used keys, for a hand-over."""
         return [
             KeyEntry(
                 serial,
@@ -190,10 +190,10 @@
         oldest_serial: int,
         entries: list[KeyEntry],
     ) -> "KeyLedger":
-        """Build the successor's ledger.
+        """Build the successor's ledger from a hand-over.
 
-        A call that was still in flight at the old owner is UNKNOWN here: its
-        answer went elsewhere.
+        A call that was still in flight at the previous holder becomes UNKNOWN,
+        since its response does not arrive here.
         """
         ledger = cls(owner, incarnation, max_used_keys)
         ledger.next_serial = next_serial
--- a/packages/buckthornwall/src/buckthornwall/idempotency/transfer.py
+++ b/packages/buckthornwall/src/buckthornwall/idempotency/transfer.py
@@ -1,7 +1,7 @@
 """Hand-over of ledgers at a planned stop.
 
-An owner that stops hands its ledger to one successor and to no other, even if
-it never hears that the successor took it: two holders could both dispatch.
+An instance that stops offers each ledger to a single successor and to no other,
+even if the successor never acknowledges it: two holders could both dispatch a call.
 """
 
 from collections.abc import Callable
@@ -30,20 +30,20 @@
 
 
 class LedgerTransfer:
-    """Gives ledgers away, takes them, and tells who holds what.
+    """Hands ledgers over, adopts them, and tracks which instance holds each.
 
     Parameters
     ----------
     node, incarnation
-        This instance.
+        Id and incarnation of this instance.
     settings
         The ``[idempotency]`` section.
     members
-        The view of the fleet.
+        Table of the known instances.
     send, is_up
-        Send a message to an instance; tell whether a link to it stands.
+        Send a message to an instance; return whether the link to it is up.
     retry_forwards
-        Called when a ledger is heard to have moved.
+        Called when a peer reports that a ledger has moved.
     """
 
     def __init__(
@@ -69,7 +69,7 @@
         self._accepted: dict[OwnerId, trio.Event] = {}
 
     def handle(self, node: NodeId, message: Message) -> None:
-        """Take one message from a peer."""
+        """Process one message from a peer."""
         if isinstance(message, LedgerHandover):
             self._receive_chunk(node, message)
         elif isinstance(message, HandoverAccepted):
@@ -80,7 +80,7 @@
             self._receive_move(message)
 
     async def hand_over(self) -> None:
-        """Seal every ledger held here and give each to one successor."""
+        """Seal all ledgers held here and hand each to one successor."""
         for ledger in self.ledgers.values():
             ledger.seal()
         while any(ledger.in_flight() for ledger in self.ledgers.values()):
@@ -91,7 +91,7 @@
 
     async def _hand_over_ledger(self, ledger: KeyLedger) -> None:
         if ledger.next_serial == 1:
-            return  # no key of it exists
+            return  # no key was issued
         owner = (ledger.owner, ledger.incarnation)
         accepted = self._accepted[owner] = trio.Event()
         chunks: list[LedgerHandover] = []
@@ -116,7 +116,10 @@
             self._announce_move(LedgerMoved(*owner, successor))
 
     def _choose_successor(self, owner: OwnerId) -> NodeId | None:
-        """Choose once; a choice that was sent anything is never changed."""
+        """Return the successor of a ledger, or None if no link to a peer is up.
+
+        Once anything was sent to a successor, no other is chosen.
+        """
         peers = [
             node
             for node in self.members.live()
@@ -178,12 +181,12 @@
         owner = (message.owner, message.incarnation)
         ledger = self.ledgers.get(owner)
         if ledger is not None and not ledger.sealed:
-            return  # it is held here now
+            return  # this instance holds the ledger now
         self.successors[owner] = message.successor
         self.retry_forwards()
 
     def send_moves(self, node: NodeId) -> None:
-        """Tell a peer whose link has come up what has moved where."""
+        """Tell a peer whose link has come up which instances hold moved ledgers."""
         for (owner, incarnation), successor in self.successors.items():
             self.send(node, LedgerMoved(owner, incarnation, successor))
         for owner, incarnation in self.ledgers:
