--- a/packages/buckthornwall-standins/src/buckthornwall_standins/pool_sim/engine.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/pool_sim/engine.py
@@ -19,28 +19,28 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineSpeed:
-    """How quickly an engine works; `context_s` is added for a million token pairs."""
+    """How quickly an engine works."""
 
-    step_s: float = 0.004
-    tokens_per_s: float = 60_000.0
+    decode_step_s: float = 0.004
+    prefill_tokens_per_s: float = 60_000.0
     chunk_tokens: int = 2048
-    context_s: float = 0.0004
+    attention_s_per_m_pairs: float = 0.0004
     slots: int = 64
     memory_tokens: int = 500_000
     tokens_per_event: int = 4
-    queued: int = 1000
+    max_queued: int = 1000
 
-    def times(self, speed: float) -> "EngineSpeed":
+    def scaled(self, speed: float) -> "EngineSpeed":
         """Return an engine that does everything so many times as fast."""
         return EngineSpeed(
-            self.step_s / speed,
-            self.tokens_per_s * speed,
+            self.decode_step_s / speed,
+            self.prefill_tokens_per_s * speed,
             self.chunk_tokens,
-            self.context_s / speed,
+            self.attention_s_per_m_pairs / speed,
             self.slots,
             self.memory_tokens,
             self.tokens_per_event,
-            self.queued,
+            self.max_queued,
         )
 
 
@@ -64,7 +64,7 @@
     id: UpstreamId
     speed: EngineSpeed
     is_live: bool = True
-    is_awake: bool = False
+    is_stepping: bool = False
     cached: OrderedDict[str, int] = field(default_factory=OrderedDict)
     running: list[SimRequest] = field(default_factory=list)
     waiting: list[tuple[int, int, SimRequest]] = field(default_factory=list)
@@ -73,7 +73,7 @@
     def submit(self, request: SimRequest, rank: int, number: int) -> bool:
         """Take a prompt; False if there is no room for one more."""
         in_use = len(self.running) + len(self.waiting)
-        if in_use >= self.speed.slots + self.speed.queued:
+        if in_use >= self.speed.slots + self.speed.max_queued:
             return False
         request.pending_prefill_tokens = (
             request.prompt.prompt_tokens - self._cached_tokens(request)
@@ -98,18 +98,18 @@
 
     def step(self, now: float) -> float:
         """Work for one step; return how long it takes, in seconds."""
-        self._drop_late(now)
-        duration = self.speed.step_s
-        head = self._next_to_prefill()
-        if head is not None:
-            duration += self._prefill_chunk(head)
+        self._drop_expired(now)
+        duration = self.speed.decode_step_s
+        prefilling = self._next_to_prefill()
+        if prefilling is not None:
+            duration += self._prefill_chunk(prefilling)
         end = now + duration
         for request in list(self.running):
-            self._make_token(request, end)
-        if head is not None and head.pending_prefill_tokens <= 0:
+            self._generate_token(request, end)
+        if prefilling is not None and prefilling.pending_prefill_tokens <= 0:
             heapq.heappop(self.waiting)
-            self._keep(head)
-            self.running.append(head)
+            self._cache_segments(prefilling)
+            self.running.append(prefilling)
         return duration
 
     def _next_to_prefill(self) -> SimRequest | None:
@@ -117,7 +117,7 @@
             return None
         return self.waiting[0][2]
 
-    def _drop_late(self, now: float) -> None:
+    def _drop_expired(self, now: float) -> None:
         while self.waiting and self.waiting[0][2].deadline <= now:
             self._fail(heapq.heappop(self.waiting)[2], now)
         for request in [each for each in self.running if each.deadline <= now]:
@@ -128,7 +128,7 @@
         request.failed = True
         request.on_event(now, True)
 
-    def _keep(self, request: SimRequest) -> None:
+    def _cache_segments(self, request: SimRequest) -> None:
         """Keep what was prefilled, in the room that running requests leave."""
         for segment in request.prompt.segments:
             self.cached[segment.id] = segment.tokens
@@ -153,22 +153,22 @@
             request.pending_prefill_tokens, request.prompt.prompt_tokens - cached
         )
         tokens = max(0, min(request.pending_prefill_tokens, self.speed.chunk_tokens))
-        before = request.prompt.prompt_tokens - request.pending_prefill_tokens
+        context_tokens = request.prompt.prompt_tokens - request.pending_prefill_tokens
         request.pending_prefill_tokens -= tokens
         self.prefilled_tokens += tokens
-        pairs_s = self.speed.context_s * tokens * before / 1e6
-        return tokens / self.speed.tokens_per_s + pairs_s
+        attention_s = self.speed.attention_s_per_m_pairs * tokens * context_tokens / 1e6
+        return tokens / self.speed.prefill_tokens_per_s + attention_s
 
-    def _make_token(self, request: SimRequest, now: float) -> None:
-        request.made += 1
-        request.done = request.made >= request.answer_tokens
+    def _generate_token(self, request: SimRequest, now: float) -> None:
+        request.generated_tokens += 1
+        request.done = request.generated_tokens >= request.answer_tokens
         if request.done:
             self.running.remove(request)
-        if request.done or request.made % self.speed.tokens_per_event == 0:
-            if request.first_at is None:
-                request.first_at = now
+        if request.done or request.generated_tokens % self.speed.tokens_per_event == 0:
+            if request.first_event_at is None:
+                request.first_event_at = now
             else:
-                pause_s = now - request.last_at
+                pause_s = now - request.last_event_at
                 request.longest_pause_s = max(request.longest_pause_s, pause_s)
-            request.last_at = now
+            request.last_event_at = now
             request.on_event(now, request.done)
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/pool_sim/request.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/pool_sim/request.py
@@ -28,9 +28,10 @@
 
     `bursts` are times from, until, and how many times as many come then; `retries` is
     how often a caller comes back after a refusal. Prompts share a part with the others
-    of their subject, and `root_tokens` before it with all. `spread` is that of the
-    logarithm of their lengths; with none, lengths are spread evenly about the mean. A
-    caller leaves that has had no event for `client_timeout_s`.
+    of their subject, and `root_tokens` before it with all. `length_log_sigma` is the
+    standard deviation of the logarithm of their lengths; at 0 lengths are spread
+    evenly about the mean. A caller leaves that has had no event for
+    `client_timeout_s`.
     """
 
     name: str
@@ -39,14 +40,14 @@
     target_s: float
     max_pause_s: float
     shared_tokens: int
-    own_tokens: int
+    unique_tokens: int
     answer_tokens: int
     subjects: int
     deadline_s: float = 10.0
     root_tokens: int = 0
     retries: int = 0
     bursts: tuple[tuple[float, float, float], ...] = ()
-    spread: float = 0.0
+    length_log_sigma: float = 0.0
     client_timeout_s: float = math.inf
 
     def scaled(self, rate: float, subjects: float) -> "Traffic":
@@ -78,9 +79,9 @@
     def rate(self, at: float) -> float:
         """Return how many come in a second at a time."""
         rate = self.per_s
-        for begins, ends, times in self.bursts:
-            if begins <= at < ends:
-                rate *= times
+        for start, end, factor in self.bursts:
+            if start <= at < end:
+                rate *= factor
         return rate
 
 
@@ -88,19 +89,18 @@
 class SimRequest:
     """One request and what became of it; times are in seconds.
 
-    `at` is when its caller first asked, `asked_at` when it did last, and `refused_at`
-    holds when it was refused.
+    `refused_at` holds when it was refused.
     """
 
     traffic: Traffic
-    at: float
+    first_asked_at: float
     prompt: PromptShape
     answer_tokens: int
-    asked_at: float = 0.0
+    last_asked_at: float = 0.0
     pending_prefill_tokens: int = 0
-    made: int = 0
-    first_at: float | None = None
-    last_at: float = 0.0
+    generated_tokens: int = 0
+    first_event_at: float | None = None
+    last_event_at: float = 0.0
     longest_pause_s: float = 0.0
     done: bool = False
     failed: bool = False
@@ -116,21 +116,21 @@
     @property
     def deadline(self) -> float:
         """When its caller gives up."""
-        deadline = self.at + self.traffic.deadline_s
-        if self.first_at is not None:
+        deadline = self.first_asked_at + self.traffic.deadline_s
+        if self.first_event_at is not None:
             return deadline
-        return min(deadline, self.asked_at + self.traffic.client_timeout_s)
+        return min(deadline, self.last_asked_at + self.traffic.client_timeout_s)
 
     @property
     def in_time(self) -> bool:
         """Whether it was answered within its target and its pauses."""
-        return self.refusals == 0 and self._is_prompt
+        return self.refusals == 0 and self._is_timely
 
     @property
-    def _is_prompt(self) -> bool:
+    def _is_timely(self) -> bool:
         return (
             self.done
-            and self.first_at - self.asked_at <= self.traffic.target_s
+            and self.first_event_at - self.last_asked_at <= self.traffic.target_s
             and self.longest_pause_s <= self.traffic.max_pause_s
         )
 
@@ -139,7 +139,7 @@
         """What its caller got, from 0 to 1."""
         if not self.done:
             return 0.0
-        if not self._is_prompt:
+        if not self._is_timely:
             return LATE_CREDIT
         return 1.0 if self.refusals == 0 else (1 + LATE_CREDIT) / 2
 
@@ -148,13 +148,13 @@
         """What its caller got, where time counts from when it first asked."""
         if not self.done:
             return 0.0
-        is_prompt = (
-            self.first_at - self.at <= self.traffic.target_s
+        is_timely = (
+            self.first_event_at - self.first_asked_at <= self.traffic.target_s
             and self.longest_pause_s <= self.traffic.max_pause_s
         )
-        return 1.0 if is_prompt else LATE_CREDIT
+        return 1.0 if is_timely else LATE_CREDIT
 
-    def returns_after_s(self, retry_after_s: float, now: float) -> float | None:
+    def retry_delay_s(self, retry_after_s: float, now: float) -> float | None:
         """Return after how long its caller asks again, or None if it does not."""
         if self.refusals > self.traffic.retries:
             return None
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/pool_sim/simulation.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/pool_sim/simulation.py
@@ -43,12 +43,12 @@
     down_s: float
 
 
-def _length(draw: random.Random, mean: int, width: float, spread: float) -> int:
+def _length(rng: random.Random, mean: int, width: float, log_sigma: float) -> int:
     """Draw a length in tokens: log-normal, or evenly within `width` of the mean."""
-    if not spread:
-        return int(mean * draw.uniform(1 - width, 1 + width))
-    times = draw.lognormvariate(-(spread**2) / 2, spread)
-    return max(1, int(mean * min(times, MOST_TIMES_MEAN)))
+    if not log_sigma:
+        return int(mean * rng.uniform(1 - width, 1 + width))
+    factor = rng.lognormvariate(-(log_sigma**2) / 2, log_sigma)
+    return max(1, int(mean * min(factor, MOST_TIMES_MEAN)))
 
 
 class _Clock:
@@ -151,7 +151,9 @@
             for at in each.refused_at:
                 yield RequestAttempt(name, tier, tokens, at, None)
             if not each.refused:
-                yield RequestAttempt(name, tier, tokens, each.asked_at, each.first_at)
+                yield RequestAttempt(
+                    name, tier, tokens, each.last_asked_at, each.first_event_at
+                )
 
     def of(self, name: str) -> list[SimRequest]:
         """Return a route's requests."""
@@ -171,10 +173,10 @@
 
     def _request(self, traffic: Traffic, at: float) -> SimRequest:
         subject = self.draw.randrange(traffic.subjects)
-        spread, of_subject = traffic.spread, random.Random(subject)
-        shared = _length(of_subject, traffic.shared_tokens, 0.6, spread)
-        own = _length(self.draw, traffic.own_tokens, 0.7, spread)
-        answer = max(8, _length(self.draw, traffic.answer_tokens, 0.8, spread))
+        log_sigma, of_subject = traffic.length_log_sigma, random.Random(subject)
+        shared = _length(of_subject, traffic.shared_tokens, 0.6, log_sigma)
+        own = _length(self.draw, traffic.unique_tokens, 0.7, log_sigma)
+        answer = max(8, _length(self.draw, traffic.answer_tokens, 0.8, log_sigma))
         segments = [
             PromptSegment(f"{traffic.name}{subject}", shared),
             PromptSegment(f"own{next(self._numbers)}", own),
@@ -187,7 +189,7 @@
         return SimRequest(traffic, at, prompt, answer)
 
     def _arrive(self, request: SimRequest) -> None:
-        request.asked_at = self.clock.now()
+        request.last_asked_at = self.clock.now()
         number = next(self._numbers)
         instance = self.draw.choice(self.instances)
         tried: set[UpstreamId] = set()
@@ -214,20 +216,20 @@
     def _refuse(self, request: SimRequest, after_s: float) -> None:
         now = self.clock.now()
         request.refused_at.append(now)
-        returns_after_s = request.returns_after_s(after_s, now)
-        if returns_after_s is None:
+        retry_delay_s = request.retry_delay_s(after_s, now)
+        if retry_delay_s is None:
             request.refused = True
             return
-        self._at(now + returns_after_s + CALLER_S, lambda: self._arrive(request))
+        self._at(now + retry_delay_s + CALLER_S, lambda: self._arrive(request))
 
     def _wake(self, engine: SimEngine) -> None:
-        if not engine.is_awake:
-            engine.is_awake = True
+        if not engine.is_stepping:
+            engine.is_stepping = True
             self._step(engine)
 
     def _step(self, engine: SimEngine) -> None:
         if not engine.waiting and not engine.running:
-            engine.is_awake = False
+            engine.is_stepping = False
             return
         duration = engine.step(self.clock.time)
         self._at(self.clock.time + duration, lambda: self._step(engine))
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/tests/test_pool_sim.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/tests/test_pool_sim.py
@@ -16,7 +16,7 @@
 
 
 def play(speed: float, load: float, seed: int = 1, seconds: float = 6.0):
-    simulation = PoolSimulation(EngineSpeed().times(speed), traffic(load), seed=seed)
+    simulation = PoolSimulation(EngineSpeed().scaled(speed), traffic(load), seed=seed)
     requests = simulation.run(seconds)
     assert all(each.done or each.refused for each in requests)
     return simulation
@@ -65,6 +65,8 @@
     for begins in (0.0, 8.0, 16.0):
         for name in ("draft", "question", "list"):
             window = [
-                each for each in simulation.of(name) if begins <= each.at < begins + 8.0
+                each
+                for each in simulation.of(name)
+                if begins <= each.first_asked_at < begins + 8.0
             ]
             assert sum(each.done for each in window) > 0.1 * len(window)
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/tests/test_tiers.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/tests/test_tiers.py
@@ -16,11 +16,11 @@
 from buckthornwall_standins.tiers import find_inversions
 
 SPEED = EngineSpeed(
-    step_s=0.0037,
-    tokens_per_s=64_000.0,
+    decode_step_s=0.0037,
+    prefill_tokens_per_s=64_000.0,
     memory_tokens=586_000,
     tokens_per_event=5,
-    queued=134,
+    max_queued=134,
 )
 REVIEWS = Traffic(
     name="review",
@@ -30,12 +30,12 @@
     max_pause_s=1.0,
     deadline_s=10.0,
     shared_tokens=13_300,
-    own_tokens=3_720,
+    unique_tokens=3_720,
     answer_tokens=120,
     subjects=885,
     retries=1,
     bursts=((0.5, 9.5, 2.9),),
-    spread=1.0,
+    length_log_sigma=1.0,
     client_timeout_s=8.0,
 )
 REPLIES = Traffic(
@@ -47,12 +47,12 @@
     deadline_s=5.0,
     root_tokens=2_520,
     shared_tokens=3_780,
-    own_tokens=2_890,
+    unique_tokens=2_890,
     answer_tokens=52,
     subjects=270,
     retries=1,
     bursts=((4.0, 8.0, 1.6),),
-    spread=1.0,
+    length_log_sigma=1.0,
     client_timeout_s=3.2,
 )
 QUESTIONS = Traffic(
@@ -64,11 +64,11 @@
     deadline_s=10.0,
     root_tokens=210,
     shared_tokens=140,
-    own_tokens=1_110,
+    unique_tokens=1_110,
     answer_tokens=172,
     subjects=894,
     retries=1,
-    spread=0.9,
+    length_log_sigma=0.9,
     client_timeout_s=2.0,
 )
 WORD_AGE_S = 0.2
@@ -78,7 +78,7 @@
 def play(traffic: list[Traffic], speed: float, seed: int) -> list[str]:
     """Return every window in which a route got less than a less urgent one."""
     logger.disable("buckthornwall")
-    simulation = PoolSimulation(SPEED.times(speed), traffic, 45, 73, seed, WORD_AGE_S)
+    simulation = PoolSimulation(SPEED.scaled(speed), traffic, 45, 73, seed, WORD_AGE_S)
     simulation.run(SECONDS)
     logger.enable("buckthornwall")
     return [str(each) for each in find_inversions(simulation.attempts())]
