--- a/packages/buckthornwall-standins/src/buckthornwall_standins/pool_sim/instance.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/pool_sim/instance.py
@@ -78,14 +78,16 @@
         traits = RequestTraits.of(routed, resolution, self.pools)
         return traits, choose_upstream(self.pools, traits, tried, ZONE, now)
 
-    def refused_for_s(self, traits: RequestTraits, choice: Choice) -> float | None:
+    def overload_retry_after_s(
+        self, traits: RequestTraits, choice: Choice
+    ) -> float | None:
         """Return after how long a refused request is to return, or None."""
         now = self.clock.now()
         overload = find_overload(self.pools, traits, choice, now)
         record_decision(self.pools, traits, overload is None, now)
         return None if overload is None else overload.retry_after_s
 
-    def note_unreachable(self, view: UpstreamView) -> None:
+    def record_unreachable(self, view: UpstreamView) -> None:
         """Record that nothing could be sent to an engine."""
         self.pools.record_outcome(view, Verdict.UNREACHABLE)
 
@@ -147,13 +149,13 @@
         request.on_event = on_event
 
     def receive_work(
-        self, totals: dict[UpstreamId, Work], own: dict[UpstreamId, Work]
+        self, totals: dict[UpstreamId, Work], local: dict[UpstreamId, Work]
     ) -> None:
         """Take the others' work: all of it, without what was counted of this one."""
         nothing = Work()
         for view in self.pools.views.values():
             total = totals.get(view.id, nothing)
-            view.load.peers = subtract_local(total, own.get(view.id, nothing))
+            view.load.peers = subtract_local(total, local.get(view.id, nothing))
 
     def work(self) -> dict[UpstreamId, Work]:
         """Return what this instance has at each engine where it has anything."""
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/pool_sim/large.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/pool_sim/large.py
@@ -9,11 +9,11 @@
 from dataclasses import dataclass
 
 from .engine import EngineSpeed
-from .report import describe_routes, load_parser, print_plays
+from .report import describe_routes, make_parser, print_results
 from .request import Traffic
 from .simulation import EngineFault, PoolSimulation
 
-__all__ = ["LargeLoad", "main", "play_large"]
+__all__ = ["LargeLoad", "main", "simulate_large"]
 
 # An engine of 24 slots that reads 50 tokens in a millisecond.
 SPEED = EngineSpeed(
@@ -100,7 +100,7 @@
         )
 
 
-def play_large(
+def simulate_large(
     load: LargeLoad,
     staleness_s: float,
     seed: int = 1,
@@ -124,12 +124,12 @@
 
 def credit(simulation: PoolSimulation) -> float:
     """Return what all callers got, by the worth of their answers, from 0 to 1."""
-    earned = owed = 0.0
+    earned = possible = 0.0
     for request in simulation.requests:
         worth = WORTH[request.traffic.name]
-        owed += worth
+        possible += worth
         earned += worth * request.credit
-    return earned / owed
+    return earned / possible
 
 
 def describe(simulation: PoolSimulation) -> str:
@@ -140,13 +140,13 @@
 
 def main() -> int:
     """Print a line for each seed and age of word."""
-    options = load_parser(__doc__, ENGINES, INSTANCES, [0.2, 0.9]).parse_args()
+    options = make_parser(__doc__, ENGINES, INSTANCES, [0.2, 0.9]).parse_args()
     load, sizes = LargeLoad(options.times), (options.engines, options.instances)
 
     def play(staleness_s: float, seed: int) -> PoolSimulation:
-        return play_large(load, staleness_s, seed, SECONDS, *sizes)
+        return simulate_large(load, staleness_s, seed, SECONDS, *sizes)
 
-    print_plays(options, play, describe)
+    print_results(options, play, describe)
     return 0
 
 
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/pool_sim/report.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/pool_sim/report.py
@@ -8,10 +8,10 @@
 from .request import SimRequest
 from .simulation import PoolSimulation
 
-__all__ = ["describe_routes", "load_parser", "print_plays"]
+__all__ = ["describe_routes", "make_parser", "print_results"]
 
 
-def load_parser(
+def make_parser(
     description: str, engines: int, instances: int, staleness_s: list[float]
 ) -> argparse.ArgumentParser:
     """Return a parser of how often, and at what size, a load is played."""
@@ -24,7 +24,7 @@
     return parser
 
 
-def print_plays(
+def print_results(
     options: argparse.Namespace,
     play: Callable[[float, int], PoolSimulation],
     describe: Callable[[PoolSimulation], str],
@@ -34,7 +34,7 @@
     Parameters
     ----------
     options
-        What `load_parser` read.
+        What `make_parser` read.
     play
         Plays the load with word so many seconds old, and a seed.
     describe
@@ -55,10 +55,10 @@
     """Return what callers of each route got, and what engines read, as pairs."""
     pairs = []
     for name in routes:
-        own = simulation.of(name)
-        credit = sum(credit_of(each) for each in own) / len(own)
-        refused = sum(each.refused for each in own) / len(own)
-        failed = sum(each.failed for each in own) / len(own)
+        requests = simulation.requests_of(name)
+        credit = sum(credit_of(each) for each in requests) / len(requests)
+        refused = sum(each.refused for each in requests) / len(requests)
+        failed = sum(each.failed for each in requests) / len(requests)
         pairs.append(f"{name}={credit:.3f} refused={refused:.2f} failed={failed:.2f}")
     read = sum(engine.prefilled_tokens for engine in simulation.engines.values())
     return [*pairs, f"read_m={read / 1e6:.1f}"]
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/pool_sim/short_answers.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/pool_sim/short_answers.py
@@ -9,11 +9,11 @@
 
 from .engine import EngineSpeed
 from .large import WORTH
-from .report import describe_routes, load_parser, print_plays
+from .report import describe_routes, make_parser, print_results
 from .request import Traffic
 from .simulation import EngineFault, PoolSimulation
 
-__all__ = ["credit", "main", "play_short_answers"]
+__all__ = ["credit", "main", "simulate_short_answers"]
 
 ENGINES = 70
 INSTANCES = 84
@@ -80,11 +80,11 @@
 )
 SECONDS = 20.0
 # What a request is worth, in the mean of its route: a part whatever its size, and most.
-LEAST_WORTH = 0.3
-MOST_WORTH = 4.0
+MIN_WORTH = 0.3
+MAX_WORTH = 4.0
 
 
-def play_short_answers(
+def simulate_short_answers(
     staleness_s: float,
     seed: int = 1,
     times: float = 1.0,
@@ -129,25 +129,25 @@
 
     Weighed by the worth of their answers, and by their size against the mean.
     """
-    earned = owed = 0.0
+    earned = possible = 0.0
     for name in WORTH:
-        own = simulation.of(name)
-        mean = sum(each.prompt.prompt_tokens for each in own) / len(own)
-        for request in own:
+        requests = simulation.requests_of(name)
+        mean = sum(each.prompt.prompt_tokens for each in requests) / len(requests)
+        for request in requests:
             size = request.prompt.prompt_tokens / mean
-            worth = WORTH[name] * min(
-                MOST_WORTH, LEAST_WORTH + (1 - LEAST_WORTH) * size
-            )
-            owed += worth
+            worth = WORTH[name] * min(MAX_WORTH, MIN_WORTH + (1 - MIN_WORTH) * size)
+            possible += worth
             earned += worth * request.credit_from_first
-    return earned / owed
+    return earned / possible
 
 
-def served_of_largest(simulation: PoolSimulation, name: str) -> float:
+def largest_served_ratio(simulation: PoolSimulation, name: str) -> float:
     """Return how often the largest tenth is served, against all of a route."""
-    own = sorted(simulation.of(name), key=lambda each: each.prompt.prompt_tokens)
-    largest = own[-max(1, len(own) // 10) :]
-    served = sum(each.done for each in own) / len(own)
+    requests = sorted(
+        simulation.requests_of(name), key=lambda each: each.prompt.prompt_tokens
+    )
+    largest = requests[-max(1, len(requests) // 10) :]
+    served = sum(each.done for each in requests) / len(requests)
     return sum(each.done for each in largest) / len(largest) / served
 
 
@@ -156,7 +156,7 @@
     routes = describe_routes(
         simulation, list(WORTH), lambda request: request.credit_from_first
     )
-    largest = served_of_largest(simulation, "draft")
+    largest = largest_served_ratio(simulation, "draft")
     return " ".join(
         [f"credit={credit(simulation):.3f}", *routes, f"largest={largest:.2f}"]
     )
@@ -164,13 +164,13 @@
 
 def main() -> int:
     """Print a line for each seed and age of word."""
-    options = load_parser(__doc__, ENGINES, INSTANCES, [0.3]).parse_args()
+    options = make_parser(__doc__, ENGINES, INSTANCES, [0.3]).parse_args()
     sizes = (options.times, options.engines, options.instances)
 
     def play(staleness_s: float, seed: int) -> PoolSimulation:
-        return play_short_answers(staleness_s, seed, *sizes)
+        return simulate_short_answers(staleness_s, seed, *sizes)
 
-    print_plays(options, play, describe)
+    print_results(options, play, describe)
     return 0
 
 
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/pool_sim/simulation.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/pool_sim/simulation.py
@@ -25,13 +25,13 @@
 __all__ = ["EngineFault", "PoolSimulation"]
 
 # How often instances hear of each other's work, in seconds.
-TOLD_EVERY_S = 0.1
+REPORT_INTERVAL_S = 0.1
 # Engines that one request is offered to at most, as in the product.
-MOST_ENGINES = 4
+MAX_ENGINES = 4
 # The longest log-normal length, in means.
-MOST_TIMES_MEAN = 14.0
+MAX_LENGTH_MEANS = 14.0
 # The way to a caller and back, in seconds.
-CALLER_S = 0.002
+CALLER_ROUND_TRIP_S = 0.002
 
 
 @dataclass(frozen=True, slots=True)
@@ -43,15 +43,17 @@
     down_s: float
 
 
-def _length(rng: random.Random, mean: int, width: float, log_sigma: float) -> int:
-    """Draw a length in tokens: log-normal, or evenly within `width` of the mean."""
+def _sample_length(
+    rng: random.Random, mean: int, half_width: float, log_sigma: float
+) -> int:
+    """Sample a length in tokens: log-normal, or uniform within `half_width` of it."""
     if not log_sigma:
-        return int(mean * rng.uniform(1 - width, 1 + width))
+        return int(mean * rng.uniform(1 - half_width, 1 + half_width))
     factor = rng.lognormvariate(-(log_sigma**2) / 2, log_sigma)
-    return max(1, int(mean * min(factor, MOST_TIMES_MEAN)))
+    return max(1, int(mean * min(factor, MAX_LENGTH_MEANS)))
 
 
-class _Clock:
+class _SimClock:
     def __init__(self) -> None:
         self.time = 0.0
 
@@ -79,7 +81,7 @@
 
     Attributes
     ----------
-    unreached : int
+    unreachable_offers : int
         How often a request was offered to an engine that had crashed.
     """
 
@@ -93,8 +95,8 @@
         staleness_s: float = 0.0,
         faults: tuple[EngineFault, ...] = (),
     ) -> None:
-        self.draw = random.Random(seed)
-        self.clock = _Clock()
+        self.rng = random.Random(seed)
+        self.clock = _SimClock()
         self.speed = speed
         self.traffic = traffic
         self.staleness_s = staleness_s
@@ -110,7 +112,7 @@
         for instance in self.instances:
             instance.pools.instances = float(instances)
         self.requests: list[SimRequest] = []
-        self.unreached = 0
+        self.unreachable_offers = 0
         self._numbers = itertools.count()
         self._events: list[tuple[float, int, Callable[[], None]]] = []
 
@@ -124,24 +126,24 @@
         for traffic in self.traffic:
             self._plan_arrivals(traffic, seconds)
         for fault in self.faults:
-            self._at(fault.at, lambda fault=fault: self._crash(fault))
-        self._at(TOLD_EVERY_S, lambda: self._tell(seconds))
+            self._schedule(fault.at, lambda fault=fault: self._crash(fault))
+        self._schedule(REPORT_INTERVAL_S, lambda: self._exchange_reports(seconds))
         while self._events:
-            self.clock.time, _, act = heapq.heappop(self._events)
-            act()
+            self.clock.time, _, callback = heapq.heappop(self._events)
+            callback()
         return self.requests
 
     # What is to be seen
 
     def share_in_time(self, name: str) -> float:
         """Return the share of a route's requests that were answered in time."""
-        own = self.of(name)
-        return sum(each.in_time for each in own) / len(own)
+        requests = self.requests_of(name)
+        return sum(each.in_time for each in requests) / len(requests)
 
     def credit(self, name: str) -> float:
         """Return what a route's callers got, from 0 to 1."""
-        own = self.of(name)
-        return sum(each.credit for each in own) / len(own)
+        requests = self.requests_of(name)
+        return sum(each.credit for each in requests) / len(requests)
 
     def attempts(self) -> Iterable[RequestAttempt]:
         """Return every attempt: refused ones, and the last of each request."""
@@ -155,72 +157,74 @@
                     name, tier, tokens, each.last_asked_at, each.first_event_at
                 )
 
-    def of(self, name: str) -> list[SimRequest]:
+    def requests_of(self, name: str) -> list[SimRequest]:
         """Return a route's requests."""
         return [each for each in self.requests if each.traffic.name == name]
 
     # Events
 
-    def _at(self, when: float, act: Callable[[], None]) -> None:
-        heapq.heappush(self._events, (when, next(self._numbers), act))
+    def _schedule(self, when: float, callback: Callable[[], None]) -> None:
+        heapq.heappush(self._events, (when, next(self._numbers), callback))
 
     def _plan_arrivals(self, traffic: Traffic, seconds: float) -> None:
         at = 0.0
-        while (at := at + self.draw.expovariate(traffic.rate(at))) < seconds:
-            request = self._request(traffic, at)
-            self._at(at, lambda request=request: self._arrive(request))
+        while (at := at + self.rng.expovariate(traffic.rate(at))) < seconds:
+            request = self._make_request(traffic, at)
+            self._schedule(at, lambda request=request: self._arrive(request))
             self.requests.append(request)
 
-    def _request(self, traffic: Traffic, at: float) -> SimRequest:
-        subject = self.draw.randrange(traffic.subjects)
+    def _make_request(self, traffic: Traffic, at: float) -> SimRequest:
+        subject = self.rng.randrange(traffic.subjects)
         log_sigma, of_subject = traffic.length_log_sigma, random.Random(subject)
-        shared = _length(of_subject, traffic.shared_tokens, 0.6, log_sigma)
-        own = _length(self.draw, traffic.unique_tokens, 0.7, log_sigma)
-        answer = max(8, _length(self.draw, traffic.answer_tokens, 0.8, log_sigma))
+        shared = _sample_length(of_subject, traffic.shared_tokens, 0.6, log_sigma)
+        unique = _sample_length(self.rng, traffic.unique_tokens, 0.7, log_sigma)
+        answer = max(8, _sample_length(self.rng, traffic.answer_tokens, 0.8, log_sigma))
         segments = [
             PromptSegment(f"{traffic.name}{subject}", shared),
-            PromptSegment(f"own{next(self._numbers)}", own),
+            PromptSegment(f"own{next(self._numbers)}", unique),
         ]
         if traffic.root_tokens:
             segments.insert(0, PromptSegment(traffic.name, traffic.root_tokens))
-        most = 2 * traffic.answer_tokens
+        max_tokens = 2 * traffic.answer_tokens
         tokens = sum(segment.tokens for segment in segments)
-        prompt = PromptShape(ModelId("m"), tokens, most, tuple(segments))
+        prompt = PromptShape(ModelId("m"), tokens, max_tokens, tuple(segments))
         return SimRequest(traffic, at, prompt, answer)
 
     def _arrive(self, request: SimRequest) -> None:
         request.last_asked_at = self.clock.now()
         number = next(self._numbers)
-        instance = self.draw.choice(self.instances)
+        instance = self.rng.choice(self.instances)
         tried: set[UpstreamId] = set()
-        while len(tried) < MOST_ENGINES:
+        while len(tried) < MAX_ENGINES:
             traits, choice = instance.decide(request, number, tried)
             if choice is None:
                 break
             if not tried:
-                after_s = instance.refused_for_s(traits, choice)
-                if after_s is not None:
-                    self._refuse(request, after_s)
+                retry_after_s = instance.overload_retry_after_s(traits, choice)
+                if retry_after_s is not None:
+                    self._refuse(request, retry_after_s)
                     return
             tried.add(choice.view.id)
             engine = self.engines[choice.view.id]
             if not engine.is_live:
-                self.unreached += 1
-                instance.note_unreachable(choice.view)
+                self.unreachable_offers += 1
+                instance.record_unreachable(choice.view)
             elif engine.submit(request, traits.resolution.rank, number):
                 instance.send(request, traits, choice, engine)
                 self._wake(engine)
                 return
-        self._refuse(request, TOLD_EVERY_S)
+        self._refuse(request, REPORT_INTERVAL_S)
 
-    def _refuse(self, request: SimRequest, after_s: float) -> None:
+    def _refuse(self, request: SimRequest, retry_after_s: float) -> None:
         now = self.clock.now()
         request.refused_at.append(now)
-        retry_delay_s = request.retry_delay_s(after_s, now)
+        retry_delay_s = request.retry_delay_s(retry_after_s, now)
         if retry_delay_s is None:
             request.refused = True
             return
-        self._at(now + retry_delay_s + CALLER_S, lambda: self._arrive(request))
+        self._schedule(
+            now + retry_delay_s + CALLER_ROUND_TRIP_S, lambda: self._arrive(request)
+        )
 
     def _wake(self, engine: SimEngine) -> None:
         if not engine.is_stepping:
@@ -232,22 +236,25 @@
             engine.is_stepping = False
             return
         duration = engine.step(self.clock.time)
-        self._at(self.clock.time + duration, lambda: self._step(engine))
+        self._schedule(self.clock.time + duration, lambda: self._step(engine))
 
     def _crash(self, fault: EngineFault) -> None:
         live = [engine for engine in self.engines.values() if engine.is_live]
-        for engine in self.draw.sample(live, fault.count):
+        for engine in self.rng.sample(live, fault.count):
             engine.crash(self.clock.now())
-            self._at(self.clock.now() + fault.down_s, lambda e=engine: self._return(e))
+            self._schedule(
+                self.clock.now() + fault.down_s,
+                lambda crashed=engine: self._replace_crashed(crashed),
+            )
 
-    def _return(self, gone: SimEngine) -> None:
-        """Let an engine start under a new id in the place of one that is gone."""
+    def _replace_crashed(self, crashed: SimEngine) -> None:
+        """Let an engine start under a new id in the place of one that crashed."""
         engine = self._add_engine()
         for instance in self.instances:
-            instance.pools.remove(gone.id)
+            instance.pools.remove(crashed.id)
             instance.register(engine.id, self.speed)
 
-    def _tell(self, seconds: float) -> None:
+    def _exchange_reports(self, seconds: float) -> None:
         """Let each instance know of the others' work and of the segments sent."""
         now = self.clock.now()
         works = [instance.work() for instance in self.instances]
@@ -260,21 +267,23 @@
                 cached_prefixes, instance.pools.prefix_updates.to_send(now)
             )
             add_unreachable(lost, dict.fromkeys(instance.pools.unreachable(), 1))
-        self._at(
+        self._schedule(
             now + self.staleness_s,
-            lambda: self._hear(totals, works, cached_prefixes, lost),
+            lambda: self._deliver_reports(totals, works, cached_prefixes, lost),
         )
         if now < seconds:
-            self._at(now + TOLD_EVERY_S, lambda: self._tell(seconds))
+            self._schedule(
+                now + REPORT_INTERVAL_S, lambda: self._exchange_reports(seconds)
+            )
 
-    def _hear(
+    def _deliver_reports(
         self,
         totals: dict[UpstreamId, Work],
         works: list[dict[UpstreamId, Work]],
         cached_prefixes: CachedPrefixes,
         lost: Unreachable,
     ) -> None:
-        for instance, own in zip(self.instances, works, strict=True):
-            instance.receive_work(totals, own)
+        for instance, local in zip(self.instances, works, strict=True):
+            instance.receive_work(totals, local)
             instance.pools.receive_unreachable(lost)
             instance.pools.receive_cached_prefixes(cached_prefixes)
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/tests/test_large_pool.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/tests/test_large_pool.py
@@ -13,7 +13,7 @@
 from loguru import logger
 
 from buckthornwall_standins.pool_sim import PoolSimulation
-from buckthornwall_standins.pool_sim.large import LargeLoad, play_large
+from buckthornwall_standins.pool_sim.large import LargeLoad, simulate_large
 
 SEEDS = (1, 2)
 WORD_AGE_S = 0.2
@@ -24,7 +24,7 @@
     logger.disable("buckthornwall")
     try:
         return [
-            play_large(LargeLoad(), WORD_AGE_S, seed, engines=24, instances=80)
+            simulate_large(LargeLoad(), WORD_AGE_S, seed, engines=24, instances=80)
             for seed in SEEDS
         ]
     finally:
@@ -45,7 +45,7 @@
 
 def test_engines_that_crashed_are_tried_by_few(plays):
     """Each of 80 instances found out for itself: 1,189 and 1,132 offers."""
-    assert max(simulation.unreached for simulation in plays) < 500
+    assert max(simulation.unreachable_offers for simulation in plays) < 500
 
 
 def test_streams_that_must_not_pause_are_spared_by_who_never_saw_one(plays):
@@ -55,10 +55,14 @@
 
 def test_who_is_refused_is_served_when_he_returns(plays):
     """Told to come when the wait should be at the target: 0.32 and 0.28."""
-    returned = [each for play in plays for each in play.of("draft") if each.refusals]
+    returned = [
+        each for play in plays for each in play.requests_of("draft") if each.refusals
+    ]
     assert mean(each.credit > 0.5 for each in returned) > 0.38
 
 
 def test_urgent_streams_are_not_refused_while_an_engine_lives(plays):
-    refused = [each for play in plays for each in play.of("list") if each.refused]
+    refused = [
+        each for play in plays for each in play.requests_of("list") if each.refused
+    ]
     assert len(refused) <= 2
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/tests/test_pool_sim.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/tests/test_pool_sim.py
@@ -66,7 +66,7 @@
         for name in ("draft", "question", "list"):
             window = [
                 each
-                for each in simulation.of(name)
+                for each in simulation.requests_of(name)
                 if begins <= each.first_asked_at < begins + 8.0
             ]
             assert sum(each.done for each in window) > 0.1 * len(window)
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/tests/test_short_answers.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/tests/test_short_answers.py
@@ -11,8 +11,8 @@
 
 from buckthornwall_standins.pool_sim import PoolSimulation
 from buckthornwall_standins.pool_sim.short_answers import (
-    play_short_answers,
-    served_of_largest,
+    largest_served_ratio,
+    simulate_short_answers,
 )
 
 WORD_AGE_S = 0.3
@@ -22,7 +22,7 @@
 def play() -> PoolSimulation:
     logger.disable("buckthornwall")
     try:
-        return play_short_answers(WORD_AGE_S, engines=24, instances=29)
+        return simulate_short_answers(WORD_AGE_S, engines=24, instances=29)
     finally:
         logger.enable("buckthornwall")
 
@@ -34,8 +34,8 @@
 
 def test_the_longest_prompts_are_served_like_the_others(play):
     """Sent with the lowest priority, fewer of them were served."""
-    assert served_of_largest(play, "draft") > 0.85
+    assert largest_served_ratio(play, "draft") > 0.85
 
 
 def test_no_most_urgent_request_is_refused(play):
-    assert not any(each.refused for each in play.of("list"))
+    assert not any(each.refused for each in play.requests_of("list"))
