--- a/packages/buckthornwall/src/buckthornwall/idempotency/tests/test_ledger.py
+++ b/packages/buckthornwall/src/buckthornwall/idempotency/tests/test_ledger.py
@@ -1,4 +1,4 @@
-"""The ledger, held against a restatement of the specification's transitions."""
+"""Tests of the ledger against the state transitions of its specification."""
 
 import pytest
 from hypothesis import settings
@@ -37,12 +37,12 @@
 
 
 class LedgerMatchesSpecification(RuleBasedStateMachine):
-    """Drive the ledger and the specification's states by the same steps.
+    """Apply the same steps to the ledger and to a reference of its states.
 
     The reference is the table of `buckthornwall_standins.model.at_most_once`:
     UNUSED may become MARKED; MARKED may become SENT, or VOID; SENT may become
-    DONE or UNKNOWN; a sealed ledger begins nothing; a hand-over carries what
-    is not in flight. `runs` counts the sends.
+    DONE or UNKNOWN; a sealed ledger accepts no call; it is handed over when no
+    call is in flight. `runs` counts the sends.
     """
 
     def __init__(self):
@@ -121,17 +121,17 @@
 TestLedgerMatchesSpecification = LedgerMatchesSpecification.TestCase
 
 
-def test_one_key_is_for_one_call():
+def test_key_is_refused_for_a_second_call():
     ledger = make_ledger()
     ledger.begin(1, "f")
     assert ledger.begin(1, "other") is BeginResult.REUSED
 
 
-def test_a_key_never_issued_is_not_run():
+def test_call_with_a_key_never_issued_is_not_run():
     assert make_ledger(issued=1).begin(2, "f") is BeginResult.NOT_ISSUED
 
 
-def test_an_unused_key_older_than_what_is_remembered_is_not_run():
+def test_key_older_than_remembered_ones_expires():
     ledger = make_ledger(issued=5, max_used_keys=1)
     for serial in (2, 4):
         ledger.begin(serial, "f")
@@ -141,18 +141,18 @@
     assert ledger.begin(5, "f") is BeginResult.DISPATCH
 
 
-def test_a_call_in_flight_at_a_hand_over_is_unknown_at_the_successor():
+def test_call_in_flight_at_hand_over_is_unknown_at_successor():
     ledger = make_ledger()
     ledger.begin(1, "f")
     assert hand_over(ledger).begin(1, "f") is BeginResult.UNKNOWN
 
 
 @pytest.mark.parametrize("text", ["", "x", "bw1.n.1.1.0000", "bw1.n1.7.1." + "0" * 20])
-def test_a_text_that_was_not_issued_is_no_key(text):
+def test_text_that_was_not_issued_does_not_decode(text):
     assert KeyCodec("secret").decode(text) is None
 
 
-def test_a_key_reads_back_and_another_fleet_cannot_read_it():
+def test_key_decodes_only_in_its_own_fleet():
     key = IdempotencyKey("n1", 7, 12)
     text = KeyCodec("secret").encode(key)
     assert KeyCodec("secret").decode(text) == key
