--- a/packages/buckthornwall/src/buckthornwall/links/__init__.py
+++ b/packages/buckthornwall/src/buckthornwall/links/__init__.py
@@ -1,4 +1,4 @@
-"""Messages between instances: CBOR over websockets, proved by a secret."""
+"""Messages between instances: CBOR over websockets, authenticated by a secret."""
 
 from .codec import decode_batch, encode_batch
 from .core import LinkHub, LinkSettings
--- a/packages/buckthornwall/src/buckthornwall/links/codec.py
+++ b/packages/buckthornwall/src/buckthornwall/links/codec.py
@@ -1,4 +1,4 @@
-"""CBOR for batches of messages."""
+"""CBOR encoding of batches of messages."""
 
 from collections.abc import Iterable
 from typing import Any
@@ -14,22 +14,24 @@
 
 
 def encode_batch(messages: Iterable[Message]) -> bytes:
-    """Return one frame that carries the messages in order."""
+    """Return a frame that holds the messages in order."""
     return cbor2.dumps(
         [msgspec.to_builtins(each, builtin_types=(bytes,)) for each in messages]
     )
 
 
 def decode_batch(frame: bytes | str) -> list[Message]:
-    """Return the messages of one frame.
+    """Return the messages of a frame.
 
     Raises
     ------
     PeerError
-        If the frame is not CBOR or holds a message that is not known.
+        If the frame is not CBOR or holds an unknown message.
     """
     if isinstance(frame, str):
-        raise PeerError(ResultCode.PEER_MESSAGE, "a text frame")
+        raise PeerError(
+            ResultCode.PEER_MESSAGE, "expected a binary frame, got a text frame"
+        )
     try:
         items: Any = cbor2.loads(frame)
         return msgspec.convert(items, list[Message], builtin_types=(bytes,))
--- a/packages/buckthornwall/src/buckthornwall/links/core.py
+++ b/packages/buckthornwall/src/buckthornwall/links/core.py
@@ -1,8 +1,8 @@
-"""The hub that owns every link of this instance.
+"""The hub of all links between this instance and its peers.
 
-A link carries messages one way: each instance dials the peers it sends to.
-A broken link loses what it carried, and every protocol above repeats what it
-needs, so there is nothing to acknowledge here.
+A link carries messages one way: each instance dials the peers that it sends to.
+There are no acknowledgements: a broken link loses its queued messages, and each
+protocol above the links repeats what it needs.
 """
 
 import hmac
@@ -65,7 +65,7 @@
 def hello_mac(
     secret: str, nonce: bytes, node: NodeId, incarnation: Incarnation
 ) -> bytes:
-    """Return the code that proves `secret` to whoever chose `nonce`."""
+    """Return the MAC that proves knowledge of `secret` to the sender of `nonce`."""
     text = b"%b\0%b\0%d" % (nonce, node.encode(), incarnation)
     return hmac.digest(secret.encode(), text, "sha256")
 
@@ -73,7 +73,7 @@
 def _make_tls_contexts(
     settings: LinkSettings,
 ) -> tuple[ssl.SSLContext | None, ssl.SSLContext | None]:
-    """Return the TLS contexts to listen and to dial with, both or neither."""
+    """Return the TLS contexts for listening and dialling, or None for both."""
     if not settings.tls_certificate:
         return None, None
     contexts = []
@@ -81,14 +81,14 @@
         context = ssl.create_default_context(purpose, cafile=settings.tls_ca)
         context.load_cert_chain(settings.tls_certificate, settings.tls_key)
         context.verify_mode = ssl.CERT_REQUIRED
-        context.check_hostname = False  # peers are known by IP number and CA
+        context.check_hostname = False  # peers are identified by IP address and CA
         contexts.append(context)
     contexts[1].verify_mode = ssl.CERT_REQUIRED
     return contexts[0], contexts[1]
 
 
 class _OutboundLink:
-    """Queue and task of one dialled peer."""
+    """Send queue and state of the link to one dialled peer."""
 
     def __init__(self, node: NodeId, address: str) -> None:
         self.node = node
@@ -99,7 +99,7 @@
         self.scope = trio.CancelScope()
 
     def enqueue(self, message: Message) -> bool:
-        """Queue a message; refuse it when the link is down or far behind."""
+        """Queue a message; return False if the link is down or the queue is full."""
         if not self.up or len(self.queue) >= MAX_QUEUED_MESSAGES:
             return False
         self.queue.append(message)
@@ -107,7 +107,7 @@
         return True
 
     async def take_batch(self, linger_s: float) -> list[Message]:
-        """Wait for messages, linger for more, and return them all."""
+        """Wait for a message, then `linger_s` for more, and return all of them."""
         while not self.queue:
             self.wake = trio.Event()
             await self.wake.wait()
@@ -119,16 +119,16 @@
 
 
 class LinkHub:
-    """Owns the listener and every link of this instance.
+    """Owns the listener and all links of this instance.
 
     Parameters
     ----------
     node, incarnation
-        Who this instance is.
+        Id and incarnation of this instance.
     settings
         The ``[links]`` section.
     deliver
-        Called with each message received and the peer that sent it.
+        Called with the sending peer and the message, for each message received.
     """
 
     def __init__(
@@ -169,7 +169,8 @@
         Returns
         -------
         bool
-            False if the link is down; the message is then dropped.
+            False if the link is down or its queue is full; the message is then
+            dropped.
         """
         if node == self.node:
             self.deliver(node, message)
@@ -178,12 +179,12 @@
         return link is not None and link.enqueue(message)
 
     def is_up(self, node: NodeId) -> bool:
-        """Tell whether a link to the peer stands."""
+        """Return whether the link to the peer is up."""
         link = self._outbound_links.get(node)
         return node == self.node or (link is not None and link.up)
 
     def set_peer(self, node: NodeId, address: str) -> None:
-        """Dial a peer, or dial it anew where its address has changed."""
+        """Dial a peer, or redial it if its address has changed."""
         if node == self.node:
             return
         link = self._outbound_links.get(node)
@@ -196,13 +197,13 @@
         self._nursery.start_soon(self._dial_forever, link)
 
     def drop_peer(self, node: NodeId) -> None:
-        """Stop dialling a peer."""
+        """Close the link to a peer and stop dialling it."""
         link = self._outbound_links.pop(node, None)
         if link is not None:
             link.scope.cancel()
 
     async def run(self, *, task_status=trio.TASK_STATUS_IGNORED) -> None:
-        """Listen and keep every link until cancelled."""
+        """Listen, and maintain all links until cancelled."""
         host, port = self.settings.listen.rsplit(":", 1)
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
@@ -242,13 +243,19 @@
         await socket.send(encode_batch([Challenge(nonce)]))
         messages = decode_batch(await socket.recv())
         if len(messages) != 1 or not isinstance(messages[0], Hello):
-            raise PeerError(ResultCode.PEER_UNAUTHENTICATED, "no hello")
+            raise PeerError(
+                ResultCode.PEER_UNAUTHENTICATED,
+                "expected Hello as the answer to the challenge",
+            )
         hello = messages[0]
         expected = hello_mac(
             self.settings.peer_secret, nonce, hello.node, hello.incarnation
         )
         if not hmac.compare_digest(expected, hello.mac):
-            raise PeerError(ResultCode.PEER_UNAUTHENTICATED, "wrong secret")
+            raise PeerError(
+                ResultCode.PEER_UNAUTHENTICATED,
+                "the MAC does not match the shared secret",
+            )
         self.on_hello(hello.node, hello.address)
         return hello.node
 
@@ -270,8 +277,8 @@
                 try:
                     await self._dial(link, backoff)
                 except Exception as error:
-                    # Whatever a peer, its TLS or the network does, this end
-                    # dials again; nothing of it may stop the instance.
+                    # No error of a peer, of TLS or of the network may stop the
+                    # instance; the link is dialled again.
                     log_event("link_down", "DEBUG", peer=link.node, detail=error)
                 finally:
                     if link.up:
@@ -307,8 +314,8 @@
                 nursery.start_soon(
                     self._wait_until_closed, socket, nursery.cancel_scope
                 )
-                # Neither task may raise out of the nursery: a broken link is
-                # an everyday event, and the loop around dials again.
+                # No task may raise out of the nursery: a broken link is expected,
+                # and the caller dials again.
                 with suppress(WebSocketException):
                     await self._send_forever(socket, link)
                 nursery.cancel_scope.cancel()
@@ -317,7 +324,9 @@
         with trio.fail_after(self.settings.open_timeout_s):
             messages = decode_batch(await socket.recv())
             if len(messages) != 1 or not isinstance(messages[0], Challenge):
-                raise PeerError(ResultCode.PEER_MESSAGE, "no challenge")
+                raise PeerError(
+                    ResultCode.PEER_MESSAGE, "expected Challenge as the first message"
+                )
             mac = hello_mac(
                 self.settings.peer_secret,
                 messages[0].nonce,
@@ -331,7 +340,7 @@
     async def _wait_until_closed(self, socket, scope: trio.CancelScope) -> None:
         with suppress(WebSocketException):
             async for _ in socket:
-                pass  # nothing is sent this way after the challenge
+                pass  # the accepting side sends nothing after the challenge
         scope.cancel()
 
     async def _send_forever(self, socket, link: _OutboundLink) -> None:
--- a/packages/buckthornwall/src/buckthornwall/links/messages.py
+++ b/packages/buckthornwall/src/buckthornwall/links/messages.py
@@ -1,6 +1,6 @@
-"""Every message that one instance sends another.
+"""Messages between instances.
 
-Messages are encoded as arrays headed by a small integer tag, since a pool's
+They are encoded as arrays that begin with a small integer tag, since a pool's
 scheduler handles several for each request.
 """
 
@@ -50,7 +50,7 @@
 
 
 class NodeState(Enum):
-    """What an instance says of itself."""
+    """State that an instance reports of itself."""
 
     JOINING = 0
     READY = 1
@@ -68,13 +68,13 @@
 
 
 class Challenge(Struct, array_like=True, tag=1):
-    """The accepting side's nonce, to be answered by `Hello`."""
+    """Nonce of the accepting side, to be answered by `Hello`."""
 
     nonce: bytes
 
 
 class Hello(Struct, array_like=True, tag=2):
-    """The dialling side's name and its proof of the shared secret."""
+    """Id of the dialling side and its proof that it knows the shared secret."""
 
     node: NodeId
     incarnation: Incarnation
@@ -83,7 +83,7 @@
 
 
 class PeerAddress(Struct, array_like=True):
-    """Where an instance can be dialled."""
+    """Address at which an instance accepts links."""
 
     node: NodeId
     address: str
@@ -91,7 +91,7 @@
 
 
 class Heartbeat(Struct, array_like=True, tag=3):
-    """Sign of life with the sender's state and the records it has in force."""
+    """Heartbeat with the sender's state and the version of its records in force."""
 
     incarnation: Incarnation
     state: NodeState
@@ -103,7 +103,7 @@
 
 
 class RecordsRequest(Struct, array_like=True, tag=4):
-    """Ask a peer for the records it has in force."""
+    """Request for the records that the receiver has in force."""
 
 
 class RecordsReply(Struct, array_like=True, tag=5):
@@ -113,11 +113,11 @@
 
 
 class Enqueue(Struct, array_like=True, tag=6):
-    """Ask a pool's scheduler for a slot; repeating it changes nothing.
+    """Request for a slot, to a pool's scheduler; a repeat has no further effect.
 
-    `start_within_s` counts from sending, which was at `sent_at` on the entry's
-    clock. With `local` the receiver, always
-    the sender itself, decides within its own share of the pool.
+    `start_within_s` is measured from the sending, at `sent_at` on the entry's clock.
+    With `local` the receiver, which is always the sender itself, decides within its
+    own share of the pool.
     """
 
     request: RequestId
@@ -136,13 +136,13 @@
 
 
 class EnqueueAccepted(Struct, array_like=True, tag=7):
-    """The scheduler holds the request in its queue."""
+    """Confirmation that the scheduler has queued the request."""
 
     request: RequestId
 
 
 class EnqueueRefused(Struct, array_like=True, tag=8):
-    """The scheduler gives the request up; `code` is a result code's number."""
+    """Refusal of a request by the scheduler; `code` is the number of a result code."""
 
     request: RequestId
     code: int
@@ -152,9 +152,9 @@
 class Grant(Struct, array_like=True, tag=9):
     """A slot on an engine, valid for a short time.
 
-    `age_s` is the time from the scheduler's receipt of the request to the
-    grant, and `request_sent_at` the entry's own time of sending it, so that the entry
-    can tell a late grant without comparing clocks.
+    `age_s` is the time from the scheduler's receipt of the request to the grant.
+    `request_sent_at` is the time of sending on the entry's own clock, so that the
+    entry recognises a late grant without comparing clocks.
     """
 
     request: RequestId
@@ -168,13 +168,13 @@
 
 
 class Preempt(Struct, array_like=True, tag=19):
-    """Give a slot back for urgent work, and resume the answer later."""
+    """Order to return a slot for urgent work; the answer is resumed later."""
 
     grant: GrantId
 
 
 class Release(Struct, array_like=True, tag=10):
-    """A slot given back, with what the entry saw of the engine."""
+    """Return of a slot, with what the entry measured of the engine."""
 
     grant: GrantId
     kind: ReleaseKind
@@ -184,14 +184,14 @@
 
 
 class Withdraw(Struct, array_like=True, tag=11):
-    """The caller is gone; forget the request."""
+    """Withdrawal of a request whose caller has disconnected."""
 
     request: RequestId
     local: bool = False
 
 
 class ReportedSlot(Struct, array_like=True):
-    """One slot in use, as its entry sees it."""
+    """One slot in use, as reported by its entry."""
 
     grant: GrantId
     engine: UpstreamId
@@ -201,13 +201,13 @@
 
 
 class SlotReport(Struct, array_like=True, tag=12):
-    """Every slot of a pool that the sender uses now.
+    """All slots of a pool that the sender uses at present.
 
-    With `renews_lease` it renews a lease: for so long the receiver may give out
-    the sender's share of the pool. Without, it ends the lease at once.
-    `lease_number` numbers the sender's leases of the pool, so that the answer to the
+    With `renews_lease` the report renews the lease under which the receiver may grant
+    slots of the sender's share of the pool; without, it ends the lease at once.
+    `lease_number` counts the sender's leases of the pool, so that the answer to the
     end of one is not taken for the end of the next; it is 0 in a report that
-    is about no lease. `sent_at` is on the sender's clock; see `DelayEstimator`.
+    concerns no lease. `sent_at` is on the sender's clock; see `DelayEstimator`.
     """
 
     pool: ModelId
@@ -218,14 +218,14 @@
 
 
 class ShareLeaseEnded(Struct, array_like=True, tag=13):
-    """A scheduler no longer uses the lease of the receiver's share."""
+    """Confirmation that a scheduler ended its lease of the receiver's share."""
 
     pool: ModelId
     lease_number: int
 
 
 class CallForward(Struct, array_like=True, tag=14):
-    """A call handed to the owner of its idempotency key."""
+    """A call forwarded to the owner of its idempotency key."""
 
     call: RequestId
     key: str
@@ -238,9 +238,9 @@
 
 
 class CallOutcome(Struct, array_like=True, tag=15):
-    """The owner's answer to `CallForward`.
+    """Answer of the key's owner to `CallForward`.
 
-    `code` is 0 when `status`, `headers` and `body` are the service's own.
+    `code` is 0 if `status`, `headers` and `body` are those of the service's response.
     """
 
     call: RequestId
@@ -253,7 +253,7 @@
 
 
 class KeyEntry(Struct, array_like=True):
-    """What an owner knows of one key, in the form that a hand-over carries."""
+    """State of one used key, as sent in a hand-over."""
 
     serial: int
     state: int
@@ -264,10 +264,10 @@
 
 
 class LedgerHandover(Struct, array_like=True, tag=16):
-    """A part of the keys of an owner that stops, for its successor.
+    """A chunk of the ledger that a stopping instance hands to its successor.
 
-    It is for one incarnation of the successor only: a later one might get it
-    again after an earlier one took it, dispatched, and crashed.
+    It is addressed to one incarnation of the successor: a later one might receive
+    it again after an earlier one adopted the ledger, dispatched a call and crashed.
     """
 
     owner: NodeId
@@ -281,14 +281,14 @@
 
 
 class HandoverAccepted(Struct, array_like=True, tag=17):
-    """The successor holds the keys now."""
+    """Acknowledgement that the successor holds the ledger now."""
 
     owner: NodeId
     incarnation: Incarnation
 
 
 class LedgerMoved(Struct, array_like=True, tag=18):
-    """News that an owner's keys are held by a successor."""
+    """Announcement that a successor holds an owner's ledger."""
 
     owner: NodeId
     incarnation: Incarnation
--- a/packages/buckthornwall/src/buckthornwall/links/tests/test_links.py
+++ b/packages/buckthornwall/src/buckthornwall/links/tests/test_links.py
@@ -26,18 +26,18 @@
 )
 
 
-def test_messages_survive_the_codec():
+def test_messages_decode_unchanged():
     batch = [HEARTBEAT, EnqueueAccepted(5), Withdraw(6, local=True)]
     assert decode_batch(encode_batch(batch)) == batch
 
 
-def test_bytes_survive_the_codec():
+def test_bytes_decode_unchanged():
     entry = KeyEntry(1, 2, "f", 200, [("a", "b")], b"\x00\xff")
     assert cbor2.loads(cbor2.dumps(entry.body)) == entry.body
 
 
 @given(st.binary(max_size=80))
-def test_no_bytes_crash_the_decoder(frame):
+def test_arbitrary_bytes_raise_only_peer_errors(frame):
     try:
         decode_batch(frame)
     except PeerError as error:
@@ -48,7 +48,7 @@
 
 
 @given(st.lists(st.lists(values, max_size=6), max_size=3))
-def test_no_arrays_crash_the_decoder(arrays):
+def test_arbitrary_arrays_raise_only_peer_errors(arrays):
     try:
         decode_batch(cbor2.dumps(arrays))
     except PeerError as error:
@@ -86,7 +86,7 @@
 
 
 async def exchange(a_settings, b_settings):
-    """Send one message from a to b; return what b got within a second."""
+    """Send a message from a to b; return what b received within a second."""
     received = []
     with trio.move_on_after(1.0):
         async with trio.open_nursery() as nursery:
@@ -100,21 +100,21 @@
     return received
 
 
-async def test_a_link_carries_messages():
+async def test_link_delivers_messages():
     both = {"peer_secret": "s"}
     assert (await exchange(both, both))[0] == ("a", HEARTBEAT)
 
 
-async def test_a_link_needs_the_secret():
+async def test_link_is_refused_without_the_secret():
     assert await exchange({"peer_secret": "x"}, {"peer_secret": "s"}) == []
 
 
-async def test_a_link_under_tls_carries_messages(tmp_path):
+async def test_link_over_tls_delivers_messages(tmp_path):
     both = {"peer_secret": "s", **write_certificates(tmp_path)}
     assert (await exchange(both, both))[0] == ("a", HEARTBEAT)
 
 
-async def test_a_link_under_tls_refuses_a_peer_of_another_authority(tmp_path):
+async def test_link_over_tls_refuses_peer_of_another_authority(tmp_path):
     (tmp_path / "one").mkdir()
     (tmp_path / "two").mkdir()
     one = {"peer_secret": "s", **write_certificates(tmp_path / "one")}
@@ -123,6 +123,6 @@
 
 
 @pytest.mark.parametrize("frame", ["text", b"\xff"])
-def test_a_frame_that_is_not_a_batch_has_a_code(frame):
+def test_frame_that_is_not_a_batch_raises_peer_error(frame):
     with pytest.raises(PeerError):
         decode_batch(frame)
