--- a/packages/buckthornwall-standins/src/buckthornwall_standins/pool_sim/__init__.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/pool_sim/__init__.py
@@ -1,12 +1,13 @@
-"""A pool of model engines in simulated time, played against the pure decisions.
+"""Simulation of a pool of model engines around the product's placement decisions.
 
-Instances decide by the product's own code, each by its own counts and by old word of
-the others. No socket, no process: what is left out is the way of bytes.
+Instances decide with the product's code, each by its local counts and by delayed
+reports of its peers. There are no sockets and no processes: the transfer of bytes is
+left out.
 
 ============= ============================================================
-`engine`      engines that read and generate, crash and come back
+`engine`      engines that prefill and generate, crash and come back
 `request`     what callers send, and what became of it
-`instance`    one instance: its own counts, and the product's decisions
+`instance`    one instance: its local counts, and the product's decisions
 `simulation`  all of these on one clock
 `large`       hundreds of instances at their worst load
 ============= ============================================================
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/pool_sim/engine.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/pool_sim/engine.py
@@ -1,7 +1,7 @@
 """Model engines in simulated time.
 
-An engine generates one token of each running stream in a step and prefills one chunk of
-the most urgent prompt beside it. Prefilled segments stay cached until others need the
+In each step an engine generates one token of each running stream and prefills one
+chunk of the most urgent prompt. Prefilled segments stay cached until others need the
 room.
 """
 
@@ -19,7 +19,27 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineSpeed:
-    """How quickly an engine works."""
+    """Speed and capacity of an engine.
+
+    Attributes
+    ----------
+    decode_step_s : float
+        Duration of a step that only decodes, in seconds.
+    prefill_tokens_per_s : float
+        Prompt tokens prefilled a second.
+    chunk_tokens : int
+        Prompt tokens prefilled in one step at most.
+    attention_s_per_m_pairs : float
+        Seconds added for a million pairs of a prefilled token and a token before it.
+    slots : int
+        Requests that run at a time.
+    memory_tokens : int
+        Tokens that the engine's memory holds.
+    tokens_per_event : int
+        Tokens sent in one event.
+    max_queued : int
+        Requests that may wait beside those that run.
+    """
 
     decode_step_s: float = 0.004
     prefill_tokens_per_s: float = 60_000.0
@@ -31,7 +51,7 @@
     max_queued: int = 1000
 
     def scaled(self, speed: float) -> "EngineSpeed":
-        """Return an engine that does everything so many times as fast."""
+        """Return the speed of an engine that is `speed` times as fast."""
         return EngineSpeed(
             self.decode_step_s / speed,
             self.prefill_tokens_per_s * speed,
@@ -46,19 +66,18 @@
 
 @dataclass(eq=False)
 class SimEngine:
-    """One engine: its prefix cache, running requests and waiting ones.
+    """One engine with its prefix cache, running requests and waiting ones.
 
     Attributes
     ----------
     cached : OrderedDict
-        Tokens of the segments that it has cached, the least recently used first.
+        Tokens of the cached segments by id, the least recently used first.
     running : list
-        Requests whose prompt was prefilled.
+        Requests whose prompts have been prefilled.
     waiting : list
         A heap of rank, number and request.
-    prefilled_tokens, again_tokens : int
-        Prompt tokens prefilled so far, and those of them of shared segments that some
-        engine had prefilled before.
+    prefilled_tokens : int
+        Prompt tokens prefilled so far.
     """
 
     id: UpstreamId
@@ -71,7 +90,7 @@
     prefilled_tokens: int = 0
 
     def submit(self, request: SimRequest, rank: int, number: int) -> bool:
-        """Take a prompt; False if there is no room for one more."""
+        """Queue a request; return False if the queue is full."""
         in_use = len(self.running) + len(self.waiting)
         if in_use >= self.speed.slots + self.speed.max_queued:
             return False
@@ -82,13 +101,13 @@
         return True
 
     def report(self) -> LoadReport:
-        """Return what it says of itself with an answer."""
+        """Return the load report that the engine adds to an answer."""
         in_use = len(self.running) + len(self.waiting)
         running = min(in_use, self.speed.slots)
         return LoadReport(running, in_use - running, self.speed.slots)
 
     def crash(self, now: float) -> None:
-        """Lose everything."""
+        """Fail all requests and clear the cache."""
         self.is_live = False
         for request in [*self.running, *(each for _, _, each in self.waiting)]:
             self._fail(request, now)
@@ -97,7 +116,7 @@
         self.cached.clear()
 
     def step(self, now: float) -> float:
-        """Work for one step; return how long it takes, in seconds."""
+        """Run one step and return its duration in seconds."""
         self._drop_expired(now)
         duration = self.speed.decode_step_s
         prefilling = self._next_to_prefill()
@@ -129,7 +148,7 @@
         request.on_event(now, True)
 
     def _cache_segments(self, request: SimRequest) -> None:
-        """Keep what was prefilled, in the room that running requests leave."""
+        """Cache the request's segments in the memory left by running requests."""
         for segment in request.prompt.segments:
             self.cached[segment.id] = segment.tokens
             self.cached.move_to_end(segment.id)
@@ -148,7 +167,7 @@
         return tokens
 
     def _prefill_chunk(self, request: SimRequest) -> float:
-        cached = self._cached_tokens(request)  # may have been prefilled for another one
+        cached = self._cached_tokens(request)  # may have grown by another's prefill
         request.pending_prefill_tokens = min(
             request.pending_prefill_tokens, request.prompt.prompt_tokens - cached
         )
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/pool_sim/instance.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/pool_sim/instance.py
@@ -1,4 +1,4 @@
-"""One simulated instance: its own counts, and the product's decisions."""
+"""A simulated instance: its local counts and the product's decisions."""
 
 from buckthornwall.peers import Work, outstanding_work, subtract_local
 from buckthornwall.pools import (
@@ -31,16 +31,16 @@
 
 
 class SimInstance:
-    """One instance before a pool.
+    """An instance that routes requests to one pool.
 
     Parameters
     ----------
     clock
         Source of time.
     engines
-        The engines that are registered.
+        Registered engines.
     traffic
-        What callers send.
+        Traffic of the callers, one entry for each route.
     """
 
     def __init__(
@@ -59,7 +59,7 @@
             self.register(engine.id, speed)
 
     def register(self, engine: UpstreamId, speed: EngineSpeed) -> None:
-        """Record that an engine is there."""
+        """Register an engine."""
         address, state = "10.0.0.1:80", UpstreamState.READY
         self.pools.adopt(UpstreamEntry(engine, POOL, address, ZONE, speed.slots, state))
         self.pools.set_contracts([self.pool], self.table.routes)
@@ -67,7 +67,7 @@
     def decide(
         self, request: SimRequest, number: int, tried: set[UpstreamId]
     ) -> tuple[RequestTraits, Choice | None]:
-        """Return the request's traits and the engine chosen for it."""
+        """Return the request's traits and the engine chosen for it, if any."""
         path = f"/{request.traffic.name}/x"
         now = self.clock.now()
         routed = RoutedRequest(
@@ -81,14 +81,14 @@
     def overload_retry_after_s(
         self, traits: RequestTraits, choice: Choice
     ) -> float | None:
-        """Return after how long a refused request is to return, or None."""
+        """Return the retry-after time of a refusal in seconds, or None if admitted."""
         now = self.clock.now()
         overload = find_overload(self.pools, traits, choice, now)
         record_decision(self.pools, traits, overload is None, now)
         return None if overload is None else overload.retry_after_s
 
     def record_unreachable(self, view: UpstreamView) -> None:
-        """Record that nothing could be sent to an engine."""
+        """Record that an engine could not be reached."""
         self.pools.record_outcome(view, Verdict.UNREACHABLE)
 
     def send(
@@ -98,7 +98,7 @@
         choice: Choice,
         engine: SimEngine,
     ) -> None:
-        """Count a request at its engine until it ends."""
+        """Count a request in its engine's load until the request ends."""
         load, rank = choice.view.load, traits.resolution.rank
         calibration, model = self.pools.wait_calibration(POOL), self.pools.model(POOL)
         tokens_per_event = self.pool.engine.tokens_per_event
@@ -151,14 +151,14 @@
     def receive_work(
         self, totals: dict[UpstreamId, Work], local: dict[UpstreamId, Work]
     ) -> None:
-        """Take the others' work: all of it, without what was counted of this one."""
+        """Store the peers' work: the totals less this instance's reported work."""
         nothing = Work()
         for view in self.pools.views.values():
             total = totals.get(view.id, nothing)
             view.load.peers = subtract_local(total, local.get(view.id, nothing))
 
     def work(self) -> dict[UpstreamId, Work]:
-        """Return what this instance has at each engine where it has anything."""
+        """Return this instance's outstanding work, by engine with requests of it."""
         now = self.clock.now()
         return {
             view.id: outstanding_work(view.load, now)
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/pool_sim/large.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/pool_sim/large.py
@@ -1,8 +1,8 @@
-"""Hundreds of instances before dozens of engines, at their worst load.
+"""Simulate the worst load of a fleet of hundreds of instances and dozens of engines.
 
-Long drafts come twice as often from the first second on, when no engine holds any of
-their shared parts; then a sixth and a quarter of the engines crash, and short questions
-come 2.6 times as often.
+Long drafts come twice as often from the first second on, when no engine has cached any
+of their shared segments; then a sixth and a quarter of the engines crash, and short
+questions come 2.6 times as often.
 """
 
 import sys
@@ -15,7 +15,7 @@
 
 __all__ = ["LargeLoad", "main", "simulate_large"]
 
-# An engine of 24 slots that reads 50 tokens in a millisecond.
+# An engine of 24 slots that prefills 50 tokens in a millisecond.
 SPEED = EngineSpeed(
     decode_step_s=0.006,
     prefill_tokens_per_s=50_000.0,
@@ -27,7 +27,7 @@
 ENGINES = 59
 INSTANCES = 195
 SECONDS = 11.0
-# Long drafts: twice as many from the first second on.
+# Long drafts, twice as frequent from the first second on.
 DRAFTS = Traffic(
     name="draft",
     per_s=160,
@@ -58,7 +58,7 @@
     retries=1,
     bursts=((6.1, 16.1, 2.6),),
 )
-# The most urgent: short prompts, long answers that may not pause.
+# The most urgent route: short prompts and long, pause-sensitive answers.
 LISTS = Traffic(
     name="list",
     per_s=42,
@@ -73,27 +73,27 @@
     subjects=901,
     retries=1,
 )
-# What an answer of each kind is worth to its caller.
+# Value of an answer to its caller, by route.
 WORTH = {"draft": 2.0, "question": 1.6, "list": 3.7}
 
 
 @dataclass(frozen=True, slots=True)
 class LargeLoad:
-    """How much comes, against a usual day, and how many engines crash."""
+    """Request rate relative to a usual day, and the shares of engines that crash."""
 
     times: float = 1.0
     first_crash: float = 0.15
     second_crash: float = 0.25
 
     def traffic(self, share: float) -> list[Traffic]:
-        """Return what callers send to this part of the engines."""
+        """Return the callers' traffic for this share of the engines."""
         return [
             traffic.scaled(self.times * share, share)
             for traffic in (DRAFTS, QUESTIONS, LISTS)
         ]
 
     def faults(self, engines: int) -> tuple[EngineFault, ...]:
-        """Return which engines crash when."""
+        """Return the crashes, for this number of engines."""
         return (
             EngineFault(2.5, round(self.first_crash * engines), 4.3),
             EngineFault(5.5, round(self.second_crash * engines), 2.0),
@@ -108,7 +108,7 @@
     engines: int = ENGINES,
     instances: int = INSTANCES,
 ) -> PoolSimulation:
-    """Play a load, and return what became of it."""
+    """Run a load and return the finished simulation."""
     simulation = PoolSimulation(
         SPEED,
         load.traffic(engines / ENGINES),
@@ -123,7 +123,7 @@
 
 
 def credit(simulation: PoolSimulation) -> float:
-    """Return what all callers got, by the worth of their answers, from 0 to 1."""
+    """Return the credit of all callers, weighted by worth, from 0 to 1."""
     earned = possible = 0.0
     for request in simulation.requests:
         worth = WORTH[request.traffic.name]
@@ -133,13 +133,13 @@
 
 
 def describe(simulation: PoolSimulation) -> str:
-    """Return a line of figures."""
+    """Return one line of figures."""
     routes = describe_routes(simulation, list(WORTH), lambda request: request.credit)
     return " ".join([f"credit={credit(simulation):.3f}", *routes])
 
 
 def main() -> int:
-    """Print a line for each seed and age of word."""
+    """Print one line for each age of reports and seed."""
     options = make_parser(__doc__, ENGINES, INSTANCES, [0.2, 0.9]).parse_args()
     load, sizes = LargeLoad(options.times), (options.engines, options.instances)
 
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/pool_sim/report.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/pool_sim/report.py
@@ -1,4 +1,4 @@
-"""Plays of a load, a line of figures for each."""
+"""Command line of the pool simulations: one line of figures for each run."""
 
 import argparse
 from collections.abc import Callable
@@ -14,7 +14,7 @@
 def make_parser(
     description: str, engines: int, instances: int, staleness_s: list[float]
 ) -> argparse.ArgumentParser:
-    """Return a parser of how often, and at what size, a load is played."""
+    """Return a parser for the number and size of the simulations of a load."""
     parser = argparse.ArgumentParser(description=description.splitlines()[0])
     parser.add_argument("--word-age", type=float, nargs="+", default=staleness_s)
     parser.add_argument("--times", type=float, default=1.0)
@@ -29,16 +29,16 @@
     play: Callable[[float, int], PoolSimulation],
     describe: Callable[[PoolSimulation], str],
 ) -> None:
-    """Print a line for each age of word and seed.
+    """Print one line for each age of reports and seed.
 
     Parameters
     ----------
     options
-        What `make_parser` read.
+        Options parsed by the parser of `make_parser`.
     play
-        Plays the load with word so many seconds old, and a seed.
+        Runs the load, given the age of peers' reports in seconds and a seed.
     describe
-        Returns the figures of a play.
+        Returns the figures of a simulation.
     """
     logger.remove()
     for staleness_s in options.word_age:
@@ -52,7 +52,10 @@
     routes: list[str],
     credit_of: Callable[[SimRequest], float],
 ) -> list[str]:
-    """Return what callers of each route got, and what engines read, as pairs."""
+    """Return each route's figures and the prefilled tokens, as `key=value` texts.
+
+    `read_m` counts the prompt tokens that engines prefilled, in millions.
+    """
     pairs = []
     for name in routes:
         requests = simulation.requests_of(name)
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/pool_sim/request.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/pool_sim/request.py
@@ -16,22 +16,29 @@
 __all__ = ["POOL", "SimRequest", "Traffic"]
 
 POOL = PoolId("drafts")
-# What an answer counts for that comes late, and the part of its time left that a caller
-# waits at most before it asks again.
+# Credit of a late answer.
 LATE_CREDIT = 0.3
+# Largest share of the time left that a caller waits before it retries.
 RETRY_SHARE = 1 / 3
 
 
 @dataclass(frozen=True, slots=True)
 class Traffic:
-    """Requests of one route: how many, how long, and what their callers expect.
-
-    `bursts` are times from, until, and how many times as many come then; `retries` is
-    how often a caller comes back after a refusal. Prompts share a part with the others
-    of their subject, and `root_tokens` before it with all. `length_log_sigma` is the
-    standard deviation of the logarithm of their lengths; at 0 lengths are spread
-    evenly about the mean. A caller leaves that has had no event for
-    `client_timeout_s`.
+    """Requests of one route: rate, lengths, and what their callers expect.
+
+    Prompts share a segment of `shared_tokens` with the others of their subject, and
+    before it one of `root_tokens` with all. A caller leaves if it has received no event
+    for `client_timeout_s`.
+
+    Attributes
+    ----------
+    retries : int
+        How often a caller retries after a refusal.
+    bursts : tuple
+        Start and end, in seconds, and the factor of the rate between them.
+    length_log_sigma : float
+        Standard deviation of the logarithm of lengths; at 0 lengths are uniform about
+        the mean.
     """
 
     name: str
@@ -51,7 +58,7 @@
     client_timeout_s: float = math.inf
 
     def scaled(self, rate: float, subjects: float) -> "Traffic":
-        """Return so many times the requests, about so many times the subjects."""
+        """Return this traffic with the rate and the number of subjects multiplied."""
         return replace(
             self,
             per_s=self.per_s * rate,
@@ -59,7 +66,7 @@
         )
 
     def route(self) -> RequestRoute:
-        """Return the contract."""
+        """Return the route's configuration."""
         return RequestRoute(
             id=RouteId(self.name),
             host="h",
@@ -77,7 +84,7 @@
         )
 
     def rate(self, at: float) -> float:
-        """Return how many come in a second at a time."""
+        """Return the requests a second at a moment."""
         rate = self.per_s
         for start, end, factor in self.bursts:
             if start <= at < end:
@@ -87,9 +94,9 @@
 
 @dataclass(eq=False)
 class SimRequest:
-    """One request and what became of it; times are in seconds.
+    """A request and its outcome; times are in seconds.
 
-    `refused_at` holds when it was refused.
+    `refused_at` holds the times of its refusals.
     """
 
     traffic: Traffic
@@ -110,12 +117,12 @@
 
     @property
     def refusals(self) -> int:
-        """How often it was refused."""
+        """Number of refusals."""
         return len(self.refused_at)
 
     @property
     def deadline(self) -> float:
-        """When its caller gives up."""
+        """When the caller gives up."""
         deadline = self.first_asked_at + self.traffic.deadline_s
         if self.first_event_at is not None:
             return deadline
@@ -123,7 +130,7 @@
 
     @property
     def in_time(self) -> bool:
-        """Whether it was answered within its target and its pauses."""
+        """Whether it was never refused and answered within target and pause limit."""
         return self.refusals == 0 and self._is_timely
 
     @property
@@ -136,7 +143,7 @@
 
     @property
     def credit(self) -> float:
-        """What its caller got, from 0 to 1."""
+        """Value of the outcome to the caller, from 0 to 1."""
         if not self.done:
             return 0.0
         if not self._is_timely:
@@ -145,7 +152,7 @@
 
     @property
     def credit_from_first(self) -> float:
-        """What its caller got, where time counts from when it first asked."""
+        """Value of the outcome, with the target counted from the first attempt."""
         if not self.done:
             return 0.0
         is_timely = (
@@ -155,7 +162,7 @@
         return 1.0 if is_timely else LATE_CREDIT
 
     def retry_delay_s(self, retry_after_s: float, now: float) -> float | None:
-        """Return after how long its caller asks again, or None if it does not."""
+        """Return the seconds until the caller retries, or None if it gives up."""
         if self.refusals > self.traffic.retries:
             return None
         return min(retry_after_s, (self.deadline - now) * RETRY_SHARE)
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/pool_sim/short_answers.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/pool_sim/short_answers.py
@@ -1,8 +1,8 @@
-"""Dozens of instances whose engines mostly read: short answers, a few long ones.
+"""Simulate dozens of instances whose engines mostly prefill: few answers are long.
 
-Drafts come 2.6 times as often from the first second on, when no engine holds any of
-their shared parts; an eighth and a quarter of the engines crash; then lists, drafts and
-questions come two to three times as often.
+Drafts come 2.6 times as often from the first second on, when no engine has cached any
+of their shared segments; an eighth and a quarter of the engines crash; then lists,
+drafts and questions come two to three times as often.
 """
 
 import sys
@@ -79,7 +79,8 @@
     length_log_sigma=0.8,
 )
 SECONDS = 20.0
-# What a request is worth, in the mean of its route: a part whatever its size, and most.
+# Bounds of a request's worth, relative to the mean of its route: the part that does
+# not depend on its size, and the maximum.
 MIN_WORTH = 0.3
 MAX_WORTH = 4.0
 
@@ -92,20 +93,20 @@
     instances: int = INSTANCES,
     seconds: float = SECONDS,
 ) -> PoolSimulation:
-    """Play the load on some engines, and return what became of it.
+    """Run the load and return the finished simulation.
 
     Parameters
     ----------
     staleness_s
-        How old what instances hear of each other is, in seconds.
+        Age of peers' reports when they arrive, in seconds.
     seed
-        Of the arrivals and the lengths.
+        Seed of the arrivals and the lengths.
     times
-        How much comes, against a usual day.
+        Request rate relative to a usual day.
     engines, instances
-        How many of each; traffic and subjects are in proportion to the engines.
+        Numbers of both; traffic and subjects are in proportion to the engines.
     seconds
-        How long requests come.
+        How long requests arrive, in simulated seconds.
     """
     share = engines / ENGINES
     simulation = PoolSimulation(
@@ -125,9 +126,9 @@
 
 
 def credit(simulation: PoolSimulation) -> float:
-    """Return what all callers got, from 0 to 1; time counts from when they first asked.
+    """Return the credit of all callers, from 0 to 1, timed from their first attempts.
 
-    Weighed by the worth of their answers, and by their size against the mean.
+    Weighted by the worth of their answers and by prompt size relative to the mean.
     """
     earned = possible = 0.0
     for name in WORTH:
@@ -142,7 +143,7 @@
 
 
 def largest_served_ratio(simulation: PoolSimulation, name: str) -> float:
-    """Return how often the largest tenth is served, against all of a route."""
+    """Return the served share of a route's largest tenth relative to all of it."""
     requests = sorted(
         simulation.requests_of(name), key=lambda each: each.prompt.prompt_tokens
     )
@@ -152,7 +153,7 @@
 
 
 def describe(simulation: PoolSimulation) -> str:
-    """Return a line of figures."""
+    """Return one line of figures."""
     routes = describe_routes(
         simulation, list(WORTH), lambda request: request.credit_from_first
     )
@@ -163,7 +164,7 @@
 
 
 def main() -> int:
-    """Print a line for each seed and age of word."""
+    """Print one line for each age of reports and seed."""
     options = make_parser(__doc__, ENGINES, INSTANCES, [0.3]).parse_args()
     sizes = (options.times, options.engines, options.instances)
 
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/pool_sim/simulation.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/pool_sim/simulation.py
@@ -24,19 +24,19 @@
 
 __all__ = ["EngineFault", "PoolSimulation"]
 
-# How often instances hear of each other's work, in seconds.
+# Interval between exchanges of reports among instances, in seconds.
 REPORT_INTERVAL_S = 0.1
-# Engines that one request is offered to at most, as in the product.
+# Engines to which one request is offered at most, as in the product.
 MAX_ENGINES = 4
-# The longest log-normal length, in means.
+# Cap of log-normal lengths, in multiples of the mean.
 MAX_LENGTH_MEANS = 14.0
-# The way to a caller and back, in seconds.
+# Round trip between an instance and a caller, in seconds.
 CALLER_ROUND_TRIP_S = 0.002
 
 
 @dataclass(frozen=True, slots=True)
 class EngineFault:
-    """So many engines crash at a time, and return empty after some seconds."""
+    """`count` engines crash at `at` and return empty after `down_s` seconds."""
 
     at: float
     count: int
@@ -46,7 +46,10 @@
 def _sample_length(
     rng: random.Random, mean: int, half_width: float, log_sigma: float
 ) -> int:
-    """Sample a length in tokens: log-normal, or uniform within `half_width` of it."""
+    """Sample a length in tokens: log-normal, or uniform about the mean.
+
+    `half_width` is half the width of the uniform range, relative to the mean.
+    """
     if not log_sigma:
         return int(mean * rng.uniform(1 - half_width, 1 + half_width))
     factor = rng.lognormvariate(-(log_sigma**2) / 2, log_sigma)
@@ -62,27 +65,27 @@
 
 
 class PoolSimulation:
-    """Instances before one pool of engines, under some traffic.
+    """Instances that route traffic to one pool of engines, on a simulated clock.
 
     Parameters
     ----------
     speed
-        How quickly the engines work.
+        Speed and capacity of each engine.
     traffic
-        What callers send.
+        Traffic of the callers, one entry for each route.
     engines, instances
-        How many of each.
+        Numbers of both.
     seed
-        Of the arrivals and the lengths.
+        Seed of the arrivals and the lengths.
     staleness_s
-        How old what instances hear of each other is when they hear it, in seconds.
+        Age of peers' reports when they arrive, in seconds.
     faults
-        Engines that crash.
+        Crashes of engines.
 
     Attributes
     ----------
     unreachable_offers : int
-        How often a request was offered to an engine that had crashed.
+        Number of offers of requests to engines that had crashed.
     """
 
     def __init__(
@@ -122,7 +125,7 @@
         return engine
 
     def run(self, seconds: float) -> list[SimRequest]:
-        """Let requests come for so long, and return all when they have ended."""
+        """Let requests arrive for some seconds; return all once they have ended."""
         for traffic in self.traffic:
             self._plan_arrivals(traffic, seconds)
         for fault in self.faults:
@@ -133,7 +136,7 @@
             callback()
         return self.requests
 
-    # What is to be seen
+    # Results
 
     def share_in_time(self, name: str) -> float:
         """Return the share of a route's requests that were answered in time."""
@@ -141,12 +144,12 @@
         return sum(each.in_time for each in requests) / len(requests)
 
     def credit(self, name: str) -> float:
-        """Return what a route's callers got, from 0 to 1."""
+        """Return the mean credit of a route's requests, from 0 to 1."""
         requests = self.requests_of(name)
         return sum(each.credit for each in requests) / len(requests)
 
     def attempts(self) -> Iterable[RequestAttempt]:
-        """Return every attempt: refused ones, and the last of each request."""
+        """Yield every attempt: refused ones, and each request's last if not refused."""
         for each in self.requests:
             name, tier = each.traffic.name, each.traffic.tier
             tokens = each.prompt.prompt_tokens
@@ -248,14 +251,14 @@
             )
 
     def _replace_crashed(self, crashed: SimEngine) -> None:
-        """Let an engine start under a new id in the place of one that crashed."""
+        """Start an engine under a new id in place of one that crashed."""
         engine = self._add_engine()
         for instance in self.instances:
             instance.pools.remove(crashed.id)
             instance.register(engine.id, self.speed)
 
     def _exchange_reports(self, seconds: float) -> None:
-        """Let each instance know of the others' work and of the segments sent."""
+        """Collect the instances' reports and schedule their delivery to all."""
         now = self.clock.now()
         works = [instance.work() for instance in self.instances]
         totals: dict[UpstreamId, Work] = {}
