--- a/packages/buckthornwall/src/buckthornwall/node/announcer.py
+++ b/packages/buckthornwall/src/buckthornwall/node/announcer.py
@@ -1,4 +1,4 @@
-"""What an instance tells its members of itself, and whom it dials."""
+"""Heartbeats of an instance to the members, and the links that it opens."""
 
 from buckthornwall.links import Heartbeat, LinkHub, PeerAddress
 from buckthornwall.membership import MemberTable
@@ -9,16 +9,16 @@
 
 
 class Announcer:
-    """Heartbeats to members, and links to those whose addresses are known.
+    """Sends heartbeats to members and dials those whose addresses are known.
 
     Parameters
     ----------
     incarnation, zone
-        Of this instance.
+        Incarnation and zone of this instance.
     members, store
-        Who is there, and which records are in force.
+        Table of the members, and the records in force.
     hub
-        Carries messages and keeps links.
+        Sends messages and maintains links.
     clock
         Source of time.
     """
@@ -40,20 +40,20 @@
         self.clock = clock
 
     def dial_members(self) -> None:
-        """Keep a link to each member whose address is known."""
+        """Maintain a link to each member whose address is known."""
         for member in self.members.members.values():
             if member.address:
                 self.hub.set_peer(member.node, member.address)
 
     def add_seeds(self, seeds: list[str]) -> None:
-        """Take members from settings, as ``NODE=ADDRESS``, and dial them."""
+        """Add the members from the settings, as ``NODE=ADDRESS``, and dial them."""
         for seed in seeds:
             node, _, address = seed.partition("=")
             self._add_member(NodeId(node), address)
         self.dial_members()
 
     def record_hello(self, node: NodeId, address: str) -> None:
-        """Record that a member has made itself known."""
+        """Add a member that sent `Hello`, and dial it."""
         self._add_member(node, address)
         member = self.members.members[node]
         member.address = member.address or address
@@ -63,7 +63,7 @@
         self.members.add_peer(PeerAddress(node, address, ZoneId("")), self.clock.now())
 
     def send_member_list(self, node: NodeId) -> None:
-        """Tell a member whose link is up of all others."""
+        """Send a member the addresses of all others, in a heartbeat."""
         peers = [
             PeerAddress(member.node, member.address, member.zone)
             for member in self.members.members.values()
@@ -72,7 +72,7 @@
         self.hub.send(node, self._make_heartbeat(peers))
 
     def send_heartbeats(self) -> None:
-        """Tell every member how this instance is."""
+        """Send a heartbeat with the state of this instance to all members."""
         heartbeat = self._make_heartbeat([])
         for node in list(self.members.members):
             self.hub.send(node, heartbeat)
--- a/packages/buckthornwall/src/buckthornwall/node/connections.py
+++ b/packages/buckthornwall/src/buckthornwall/node/connections.py
@@ -1,4 +1,4 @@
-"""Everything of an instance that touches a network, so that tests can replace it."""
+"""All network access of an instance, in one place so that tests can replace it."""
 
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
@@ -23,11 +23,11 @@
 
 @dataclass
 class Connections:
-    """Pools towards upstreams and the platform, links, and listeners.
+    """Connection pools to upstreams and the platform, links, and listeners.
 
-    Services and orders get a fresh connection for each call: on one that was
-    kept, a failed write would not prove that nothing was sent, and an order
-    could leave after a freeze through a socket opened before it.
+    Calls to services and requests to load adapters use a new connection each. On a
+    kept one a failed write would not prove that nothing was sent, and a request to
+    load adapters could leave after a freeze on a socket opened before it.
     """
 
     engine_pool: httpcore.AsyncConnectionPool
@@ -47,7 +47,7 @@
         serve_callers: Serve | None = None,
         serve_operators: Serve | None = None,
     ) -> "Connections":
-        """Build the pools; sockets and hypercorn unless told otherwise."""
+        """Build the pools, by default on sockets and with hypercorn as the server."""
         max_connections = settings.upstreams.max_connections
 
         def pool(max_keepalive_connections: int | None) -> httpcore.AsyncConnectionPool:
--- a/packages/buckthornwall/src/buckthornwall/node/core.py
+++ b/packages/buckthornwall/src/buckthornwall/node/core.py
@@ -1,4 +1,4 @@
-"""One instance: its parts, the messages between them, its start and stop."""
+"""One instance: its components, the routing of messages, its start and stop."""
 
 from typing import Any
 
@@ -81,16 +81,16 @@
 
 
 class Node:
-    """Everything that one instance runs.
+    """All components of one instance.
 
     Parameters
     ----------
     settings
-        The checked settings file.
+        The validated settings.
     clock
-        Source of time for every decision.
+        Source of time for all decisions.
     connections
-        Everything that touches a network.
+        Connection pools, links and listeners.
     """
 
     def __init__(
@@ -123,7 +123,7 @@
 
     @classmethod
     def from_config(cls, settings: Settings) -> "Node":
-        """Build a node from checked settings, on the running trio clock."""
+        """Build a node from validated settings, on the clock of the trio run."""
         return cls(settings, TrioClock(), Connections.from_config(settings))
 
     def _make_upstreams(self) -> None:
@@ -234,7 +234,7 @@
     # Messages
 
     def deliver(self, node: NodeId, message: Message) -> None:
-        """Hand a peer's message to the part that it is for."""
+        """Pass a peer's message to the component that handles it."""
         if isinstance(message, Heartbeat):
             self._receive_heartbeat(node, message)
         elif isinstance(message, TO_SCHEDULER):
@@ -292,10 +292,10 @@
         self.announcer.dial_members()
         self.announcer.send_heartbeats()
 
-    # What others ask
+    # Queries
 
     def is_ready(self) -> bool:
-        """Tell whether callers should be sent here."""
+        """Return whether this instance accepts callers."""
         return self.members.local_state is NodeState.READY
 
     def _route_timeout(self, route_id: str) -> float:
@@ -311,13 +311,13 @@
         return self.store.view.raw if self.store.view else b"{}"
 
     def status(self) -> dict[str, Any]:
-        """Return what ``/status`` shows."""
+        """Return the content of ``/status``."""
         return describe_node(self)
 
     # Tasks
 
     async def run(self, *, task_status=trio.TASK_STATUS_IGNORED) -> None:
-        """Run until `stopping` is set, then stop without cutting anything off."""
+        """Run until `stopping` is set, then drain and stop."""
         async with trio.open_nursery() as nursery:
             await nursery.start(self.hub.run)
             await nursery.start(self.idempotency.run)
@@ -335,22 +335,22 @@
                 nursery.start_soon(task)
             await nursery.start(self._serve_operators)
             await self._join()
-            serving = trio.Event()
-            nursery.start_soon(self._serve_callers, serving)
+            callers_closed = trio.Event()
+            nursery.start_soon(self._serve_callers, callers_closed)
             task_status.started()
             await self.stopping.wait()
-            await self._stop(serving)
+            await self._stop(callers_closed)
             nursery.cancel_scope.cancel()
 
     async def _join(self) -> None:
-        """Serve only once the newest records that can be heard of are in force."""
+        """Become ready once the newest records that can be obtained are in force."""
         await self.freshness.wait_until_caught_up(self.stopping)
         self.members.set_local_state(NodeState.READY)
         self.announcer.send_heartbeats()
         log_event("ready", records=self.store.number)
 
     async def _check_liveness(self) -> None:
-        """Look at the clock often, and at who has fallen silent."""
+        """Check periodically for freezes of this process and for silent members."""
         while True:
             self.freeze.check()
             for node in self.members.expire(self.clock.now()):
@@ -371,7 +371,7 @@
             self.operator_app, settings, trio.sleep_forever, task_status
         )
 
-    async def _serve_callers(self, ended: trio.Event) -> None:
+    async def _serve_callers(self, closed: trio.Event) -> None:
         settings = self.settings.gateway
         await self.connections.serve_callers(
             self.app,
@@ -379,15 +379,15 @@
             self.close_caller_listener.wait,
             trio.TASK_STATUS_IGNORED,
         )
-        ended.set()
+        closed.set()
 
     # Stop
 
     async def _stop(self, callers_closed: trio.Event) -> None:
-        """Announce, drain, hand over, and leave.
+        """Announce the stop, drain, and hand over the ledgers.
 
-        The balancer learns of the stop late, so the listener stays open for a
-        while and every answer asks its caller to connect elsewhere.
+        The load balancer learns of the stop with a delay, so the listener stays open
+        for `drain_s`, and each response asks its caller to connect elsewhere.
         """
         log_event("stopping", in_flight=self.app.in_flight)
         self.members.set_local_state(NodeState.LEAVING)
--- a/packages/buckthornwall/src/buckthornwall/node/freshness.py
+++ b/packages/buckthornwall/src/buckthornwall/node/freshness.py
@@ -1,4 +1,4 @@
-"""Whether what is in force at an instance can be taken for the newest."""
+"""Whether the records in force at an instance can be taken for the newest."""
 
 import math
 
@@ -21,19 +21,19 @@
 
 
 class RecordsFreshness:
-    """What an instance has received since it began, or woke up.
+    """Tracks what an instance received since its start or its last freeze.
 
     Parameters
     ----------
     store, members, records, instances
-        What is in force, who is there, and who asks for news.
+        Records in force, known instances, and the agents that poll for newer ones.
     clock
         Source of time.
 
     Attributes
     ----------
     last_received_at : float
-        When any member was last received.
+        Time of the last heartbeat from any member.
     """
 
     def __init__(
@@ -53,18 +53,18 @@
         self._last_freeze = NEVER
 
     def record_heartbeat_received(self, now: float) -> None:
-        """Record that a member was received."""
+        """Record that a heartbeat was received."""
         self.last_received_at = now
 
     def record_freeze(self, now: float) -> None:
-        """Record that this instance was paused until now."""
+        """Record that this process was frozen until now."""
         self._last_freeze = now
 
     def is_caught_up(self) -> bool:
-        """Tell whether what is in force here can be taken for the newest.
+        """Return whether the records in force here can be taken for the newest.
 
-        After a freeze the sockets still hold what came meanwhile, oldest
-        first, so only what is received a while after waking counts.
+        After a freeze the sockets still hold what arrived during it, oldest first,
+        so only what is received more than `CATCH_UP_S` after the freeze counts.
         """
         if self.members.local_state is not NodeState.READY or self.records.is_stale:
             return False
@@ -75,17 +75,17 @@
         return alone or received > self._last_freeze + CATCH_UP_S
 
     async def wait_until_caught_up(self, stopping: trio.Event) -> None:
-        """Wait until the newest records that can be received of are in force."""
+        """Wait until the newest records that can be obtained are in force."""
         deadline = self.clock.now() + JOIN_TIMEOUT_S
         while not stopping.is_set() and not self._is_initial_sync_done(deadline):
             await trio.sleep(JOIN_POLL_S)
 
     def _is_initial_sync_done(self, deadline: float) -> bool:
-        """Tell whether the newest records that can be received of are in force.
+        """Return whether the newest records that can be obtained are in force.
 
-        Some peers may be dead and still listed, so the wait for all of them
-        has a limit; but where any is known, at least one must have answered,
-        or a stale service alone would decide what is in force here.
+        The wait for all peers has a limit, since some may be dead and still listed.
+        If any peer is known, at least one must have sent a heartbeat; otherwise a
+        stale platform alone would determine the records in force here.
         """
         if self.store.view is None or self.records.is_stale:
             return False
--- a/packages/buckthornwall/src/buckthornwall/node/instance_list.py
+++ b/packages/buckthornwall/src/buckthornwall/node/instance_list.py
@@ -1,4 +1,4 @@
-"""The task that follows the platform's list of instances."""
+"""Task that watches the platform's list of instances."""
 
 from collections.abc import Callable
 
@@ -16,18 +16,18 @@
 
 
 class InstanceListAgent:
-    """Applies each newer list to the table of members.
+    """Applies newer lists of instances to the membership table.
 
     Parameters
     ----------
     platform
         Client of the platform.
     members
-        The table to keep.
+        The membership table.
     clock
         Source of time.
     on_change
-        Called after each list that was applied.
+        Called after a list was applied.
     """
 
     def __init__(
@@ -45,7 +45,7 @@
         self.polled = False
 
     async def run(self) -> None:
-        """Watch the platform for ever, through its outages."""
+        """Watch the platform without end, and retry while it is unavailable."""
         settings = self.platform.settings
         backoff = Backoff(MIN_RETRY_DELAY_S, settings.retry_limit_s)
         wait_s = 0.0
@@ -62,11 +62,11 @@
                 backoff.reset()
                 self.apply(listed)
             elif listed is not None:
-                # An older list: do not read it again and again.
+                # Not a newer list: back off instead of polling in a tight loop.
                 await trio.sleep(backoff.next_delay())
 
     def apply(self, listed: InstanceList) -> None:
-        """Take a list into the table of members."""
+        """Apply a list to the membership table."""
         now = self.clock.now()
         self.number = listed.number
         entries = {
--- a/packages/buckthornwall/src/buckthornwall/node/load_poller.py
+++ b/packages/buckthornwall/src/buckthornwall/node/load_poller.py
@@ -1,4 +1,4 @@
-"""The task that reads the load of the engines this instance schedules."""
+"""Task that polls the load of the engines that this instance schedules."""
 
 from collections.abc import Callable
 
@@ -17,18 +17,18 @@
 
 
 class LoadPoller:
-    """Polls engines; their reports lag, and are hints only.
+    """Polls the load of engines; the reports lag and are only hints.
 
     Parameters
     ----------
     settings
         The ``[scheduling]`` section.
     store, scheduler
-        Records in force, and whose engines to poll.
+        Records in force, and the scheduler of the engines to poll.
     engines
         Client of the engines.
     on_leaving
-        Told of an engine that says it is leaving.
+        Called with each engine that reports that it is leaving.
     """
 
     def __init__(
@@ -46,7 +46,7 @@
         self.on_leaving = on_leaving
 
     async def run(self) -> None:
-        """Poll again and again."""
+        """Poll the engines every `load_poll_s` seconds."""
         while True:
             await trio.sleep(self.settings.load_poll_s)
             for role in list(self.scheduler.roles.values()):
--- a/packages/buckthornwall/src/buckthornwall/node/main.py
+++ b/packages/buckthornwall/src/buckthornwall/node/main.py
@@ -1,4 +1,4 @@
-"""The command line of ``buckthornwalld``."""
+"""Command line of ``buckthornwalld``."""
 
 import argparse
 import gc
@@ -21,7 +21,7 @@
 
 
 def build_parser() -> argparse.ArgumentParser:
-    """Return the parser of the command line."""
+    """Return the command-line parser."""
     parser = argparse.ArgumentParser(
         prog="buckthornwalld",
         description="Run one instance of the buckthornwall router.",
@@ -43,7 +43,7 @@
 def main(
     arguments: list[str] | None = None, early: EarlyListeners | None = None
 ) -> int:
-    """Run the daemon; return its exit status.
+    """Run the daemon and return its exit status.
 
     Parameters
     ----------
@@ -68,12 +68,12 @@
 
 
 def _exit_before_start(signal_number: int, frame: FrameType | None) -> None:
-    """End a process that has nothing to finish, since it serves nobody yet."""
+    """Exit at once: no request is in flight before the instance has started."""
     raise SystemExit(0)
 
 
 def _run_completions(path: Path) -> None:
-    # Imported here, since an instance pays in memory for what it imports.
+    # Imported here to save the memory of modules that the instance does not use.
     from buckthornwall.settings import Settings
 
     from .run import run_node
--- a/packages/buckthornwall/src/buckthornwall/node/records_agent.py
+++ b/packages/buckthornwall/src/buckthornwall/node/records_agent.py
@@ -1,4 +1,4 @@
-"""The tasks that keep the records in force, and spread them."""
+"""Task and message handlers that keep the records current among the instances."""
 
 from collections.abc import Callable
 
@@ -19,20 +19,20 @@
 
 
 class RecordsAgent:
-    """Adopts records from the platform and from peers, whichever is newer.
+    """Adopts newer records from the platform and from peers.
 
     Parameters
     ----------
     platform
         Client of the platform.
     store
-        What is in force.
+        Store of the records in force.
     clock
         Source of time.
     send
         Sends a message to an instance.
     on_change
-        Called after each adoption.
+        Called after records were adopted.
     """
 
     def __init__(
@@ -61,7 +61,7 @@
         )
 
     async def run(self) -> None:
-        """Watch the platform for ever, through its outages."""
+        """Watch the platform without end, and retry while it is unavailable."""
         settings = self.platform.settings
         backoff = Backoff(MIN_RETRY_DELAY_S, settings.retry_limit_s)
         wait_s = FIRST_WATCH_S
@@ -79,11 +79,11 @@
             if raw is not None and self.offer(raw, "platform") is Adoption.ADOPTED:
                 backoff.reset()
             elif raw is not None:
-                # Stale or refused: do not read it again and again.
+                # Stale or refused: back off instead of polling in a tight loop.
                 await trio.sleep(backoff.next_delay())
 
     def offer(self, raw: bytes, source: str) -> Adoption:
-        """Offer a set to the store; tell the rest of the node if it is adopted."""
+        """Offer a set of records to the store; call `on_change` if it is adopted."""
         adoption = self.store.offer(raw)
         if adoption is Adoption.ADOPTED:
             log_event(
@@ -104,7 +104,7 @@
         return adoption
 
     def handle(self, node: NodeId, message: Message) -> None:
-        """Take one message from a peer."""
+        """Process one message from a peer."""
         if isinstance(message, Heartbeat):
             self._request_newer(node, message)
         elif isinstance(message, RecordsRequest):
@@ -114,7 +114,7 @@
             self.offer(message.raw, node)
 
     def _request_newer(self, node: NodeId, message: Heartbeat) -> None:
-        """Ask a peer for its records if its heartbeat shows newer ones."""
+        """Request a peer's records if its heartbeat advertises newer ones."""
         number, digest = message.records_number, message.records_digest
         self._advertised[node] = (number, digest)
         if not self.store.is_newer(number, digest):
--- a/packages/buckthornwall/src/buckthornwall/node/run.py
+++ b/packages/buckthornwall/src/buckthornwall/node/run.py
@@ -1,4 +1,4 @@
-"""Running a node until a signal asks it to stop."""
+"""Runner of a node with its stop signals."""
 
 from functools import partial
 from typing import Any
@@ -14,14 +14,14 @@
 
 
 def run_node(settings: Settings, stop_signals: Any) -> None:
-    """Run a node until a signal asks it to stop.
+    """Run a node until it receives a stop signal.
 
     Parameters
     ----------
     settings
-        Checked settings.
+        Validated settings.
     stop_signals
-        Signals that mean a planned stop.
+        Signals that request a planned stop.
     """
     run = partial(_run_with_signals, settings, stop_signals)
     trio.run(run, clock=SuspensionClock())
--- a/packages/buckthornwall/src/buckthornwall/node/status.py
+++ b/packages/buckthornwall/src/buckthornwall/node/status.py
@@ -1,4 +1,4 @@
-"""What an instance shows of itself to operators."""
+"""Status and metrics of an instance, for operators."""
 
 from typing import Any
 
@@ -9,7 +9,7 @@
 
 
 def describe_node(node: Any) -> dict[str, Any]:
-    """Return the status of a `Node` in plain values."""
+    """Return the status of a `Node` as JSON-compatible values."""
     return {
         "node": node.node,
         "zone": node.zone,
@@ -89,7 +89,7 @@
 
 
 def render_metrics(node: Any, accept: str) -> tuple[bytes, dict[str, str]]:
-    """Return ``/metrics`` of a `Node`, its gauges read anew."""
+    """Return the ``/metrics`` of a `Node` with current values of its gauges."""
     gauges = {
         "records_number": ("Number of the records in force.", node.store.number),
         "members_live": ("Instances that may hold a role.", len(node.members.live())),
