--- a/packages/buckthornwall/src/buckthornwall/node/connections.py
+++ b/packages/buckthornwall/src/buckthornwall/node/connections.py
@@ -32,7 +32,7 @@
 
     engine_pool: httpcore.AsyncConnectionPool
     service_pool: httpcore.AsyncConnectionPool
-    order_pool: httpcore.AsyncConnectionPool
+    adapter_pool: httpcore.AsyncConnectionPool
     platform_pool: httpcore.AsyncConnectionPool
     make_hub: Callable[..., LinkHub]
     serve_callers: Serve
@@ -60,7 +60,7 @@
         return cls(
             engine_pool=pool(None),
             service_pool=pool(0),
-            order_pool=pool(0),
+            adapter_pool=pool(0),
             platform_pool=pool(None),
             make_hub=make_hub,
             serve_callers=serve_callers or _serve_callers,
--- a/packages/buckthornwall/src/buckthornwall/node/core.py
+++ b/packages/buckthornwall/src/buckthornwall/node/core.py
@@ -134,7 +134,7 @@
         self.budget = RetryBudget(upstreams.retry_ratio, upstreams.retry_reserve)
         self.adapter_reconciler = AdapterReconciler(
             upstreams,
-            pools.order_pool,
+            pools.adapter_pool,
             self.store,
             self.members,
             self.freeze,
--- a/packages/buckthornwall/src/buckthornwall/node/status.py
+++ b/packages/buckthornwall/src/buckthornwall/node/status.py
@@ -64,11 +64,11 @@
 
 
 def _member(member: Member, now: float) -> dict[str, Any]:
-    heard = member.last_heartbeat_at
+    last_heartbeat_at = member.last_heartbeat_at
     return {
         "node": member.node,
         "state": member.state.name.lower(),
-        "heard_s_ago": None if heard is None else round(now - heard, 2),
+        "heard_s_ago": None if last_heartbeat_at is None else round(now - last_heartbeat_at, 2),
         "listed": member.listed,
     }
 
