--- a/packages/buckthornwall-ctl/src/buckthornwall_ctl/config_lag.py
+++ b/packages/buckthornwall-ctl/src/buckthornwall_ctl/config_lag.py
@@ -29,16 +29,14 @@
 def find_config_lags(lines: list[LogLine]) -> list[ConfigLag]:
     """Return the longest lag of each instance, in descending order."""
     lines = sorted(lines, key=lambda line: line.at)
-    first_adopted_at = _first_adoptions(lines)
+    first_adoptions = _first_adoptions(lines)
     longest: dict[str, ConfigLag] = {}
     adopted_numbers: dict[str, int | None] = {}
     for line in lines:
         if line.event in ("starting", "stopping"):
             _keep_longest(
                 longest,
-                _lag_until(
-                    line, adopted_numbers.get(line.node), None, first_adopted_at
-                ),
+                _lag_until(line, adopted_numbers.get(line.node), None, first_adoptions),
             )
             adopted_numbers[line.node] = None
         elif line.event == "config_adopted":
@@ -46,13 +44,13 @@
             _keep_longest(
                 longest,
                 _lag_until(
-                    line, adopted_numbers.get(line.node), number, first_adopted_at
+                    line, adopted_numbers.get(line.node), number, first_adoptions
                 ),
             )
             adopted_numbers[line.node] = number
     for node, number in adopted_numbers.items():
         last = LogLine(lines[-1].at, {"event": "", "node": node})
-        _keep_longest(longest, _lag_until(last, number, None, first_adopted_at))
+        _keep_longest(longest, _lag_until(last, number, None, first_adoptions))
     return sorted(longest.values(), key=lambda each: each.duration, reverse=True)
 
 
@@ -69,12 +67,12 @@
     line: LogLine,
     current: int | None,
     adopted: int | None,
-    first_adopted_at: list[tuple[int, datetime]],
+    first_adoptions: list[tuple[int, datetime]],
 ) -> ConfigLag | None:
     """Return the lag of version `current` at a line; None if it was the newest."""
     if current is None:
         return None
-    newer = [at for number, at in first_adopted_at if number > current and at < line.at]
+    newer = [at for number, at in first_adoptions if number > current and at < line.at]
     if not newer:
         return None
     since = min(newer)
--- a/packages/buckthornwall/src/buckthornwall/gateway/completions.py
+++ b/packages/buckthornwall/src/buckthornwall/gateway/completions.py
@@ -23,7 +23,7 @@
 
 __all__ = ["CompletionHandler"]
 
-CHARS_PER_TOKEN = 4
+BODY_BYTES_PER_TOKEN = 4
 MAX_ATTEMPTS = 4
 CLASS_HEADER = "x-service-class"
 
@@ -101,7 +101,7 @@
             started_at,
             exchange.headers.get("traceparent"),
             hash_prefix(body),
-            len(raw_body) // CHARS_PER_TOKEN,
+            len(raw_body) // BODY_BYTES_PER_TOKEN,
         )
         outcome = "cut"
         try:
--- a/packages/buckthornwall/src/buckthornwall/node/status.py
+++ b/packages/buckthornwall/src/buckthornwall/node/status.py
@@ -68,7 +68,9 @@
     return {
         "node": member.node,
         "state": member.state.name.lower(),
-        "heard_s_ago": None if last_heartbeat_at is None else round(now - last_heartbeat_at, 2),
+        "heard_s_ago": None
+        if last_heartbeat_at is None
+        else round(now - last_heartbeat_at, 2),
         "listed": member.listed,
     }
 
