--- a/packages/buckthornwall-standins/src/buckthornwall_standins/crash_soak.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/crash_soak.py
@@ -13,50 +13,50 @@
 
 import trio
 
-from .soak_run import CLIENT_TIMEOUT_S, RunSettings, SoakRun, play_seeds, soak_parser
+from .soak_run import CLIENT_TIMEOUT_S, RunSettings, SoakRun, make_parser, run_seeds
 from .users_platform import Upstream
 from .users_platform.crashing import CRASH_MARKER, CrashingEngine
 from .users_platform.deployment import API_KEY, DRAFTS, HOST, ORDERS, make_route
 from .users_platform.headers import make_request_headers
 
-__all__ = ["CrashSoak", "Limits", "Sending", "find_late", "main"]
+__all__ = ["CrashSoak", "SendLimits", "SentRequest", "find_late_arrivals", "main"]
 
 # When the registration of an engine that ended is removed, and when it is back.
-LAPSE_S = 1.5
-DOWN_S = 2.0
+DEREGISTER_DELAY_S = 1.5
+DOWNTIME_S = 2.0
 
 
 @dataclass(frozen=True)
-class Limits:
+class SendLimits:
     """How many sends of a request may reach engines after it crashed some of them."""
 
-    crashes: int = 3
+    crash_threshold: int = 3
     grace_s: float = 3.0
-    sends: int = 3
+    max_arrivals: int = 3
 
 
 @dataclass(frozen=True)
-class Sending:
+class SentRequest:
     """One sending of a request that crashes engines; `at` in seconds."""
 
     body: bytes
     instance: int
-    at: float
+    sent_at: float
 
 
 @dataclass(frozen=True)
 class Arrival:
     """A sending that reached an engine."""
 
-    sending: Sending
-    at: float
+    request: SentRequest
+    arrived_at: float
 
 
-def find_late(
+def find_late_arrivals(
     arrivals: list[Arrival],
-    ends: list[tuple[float, bytes]],
-    started: list[tuple[float, int]],
-    limits: Limits,
+    crashes: list[tuple[float, bytes]],
+    restart_events: list[tuple[float, int]],
+    limits: SendLimits,
 ) -> list[Arrival]:
     """Return the arrivals that count against `limits`.
 
@@ -64,29 +64,29 @@
     ----------
     arrivals
         All that reached engines.
-    ends
+    crashes
         When an engine ended, and by which body.
-    started
+    restart_events
         When which instance was killed or started; its sends count again only
         `grace_s` later.
     limits
         What is allowed.
     """
     late = []
-    for body in {body for _, body in ends}:
-        times = sorted(at for at, by in ends if by == body)
-        if len(times) < limits.crashes:
+    for body in {body for _, body in crashes}:
+        crash_times = sorted(at for at, by in crashes if by == body)
+        if len(crash_times) < limits.crash_threshold:
             continue
-        bound = times[limits.crashes - 1] + limits.grace_s
+        grace_end = crash_times[limits.crash_threshold - 1] + limits.grace_s
         late += [
             each
             for each in arrivals
-            if each.sending.body == body
-            and each.sending.at > bound
+            if each.request.body == body
+            and each.request.sent_at > grace_end
             and not any(
-                number == each.sending.instance
-                and 0 <= each.sending.at - at <= limits.grace_s
-                for at, number in started
+                number == each.request.instance
+                and 0 <= each.request.sent_at - at <= limits.grace_s
+                for at, number in restart_events
             )
         ]
     return late
@@ -111,14 +111,16 @@
     ) -> None:
         super().__init__(settings)
         self.engines = engines
-        self.bodies = [CRASH_MARKER + b"-%d" % n for n in range(crashing)]
-        self.sendings: dict[str, Sending] = {}
+        self.crash_bodies = [CRASH_MARKER + b"-%d" % n for n in range(crashing)]
+        self.requests: dict[str, SentRequest] = {}
         self.arrivals: list[Arrival] = []
-        self.ends: list[tuple[float, bytes]] = []
+        self.crashes: list[tuple[float, bytes]] = []
 
-    def late(self, limits: Limits) -> list[Arrival]:
+    def late_arrivals(self, limits: SendLimits) -> list[Arrival]:
         """Return the arrivals that count against `limits`."""
-        return find_late(self.arrivals, self.ends, self.started, limits)
+        return find_late_arrivals(
+            self.arrivals, self.crashes, self.restart_events, limits
+        )
 
     async def start_upstreams(self, nursery: trio.Nursery) -> None:
         """Publish a configuration, start upstreams and register them."""
@@ -130,82 +132,84 @@
         ]
         self.deployment.publish()
         for number in range(1, self.engines + 1):
-            await nursery.start(self._keep_engine, f"127.0.7.{number}:{self.ports}")
+            await nursery.start(self._run_engine, f"127.0.7.{number}:{self.ports}")
         address = f"127.0.7.200:{self.ports}"
         await nursery.start(Upstream("s1").run, address)
         self.deployment.register("s1", ORDERS, address)
 
-    async def _keep_engine(
+    async def _run_engine(
         self, address: str, *, task_status=trio.TASK_STATUS_IGNORED
     ) -> None:
         """Run incarnations of one engine, each under an id of its own."""
         while True:
             engine = CrashingEngine(
-                f"e{next(self.numbers)}", event_s=0.05, on_arrival=self._note_arrival
+                f"e{next(self.numbers)}", event_s=0.05, on_arrival=self._record_arrival
             )
             async with trio.open_nursery() as nursery:
                 await nursery.start(engine.run_until_crash, address)
                 self.deployment.register(engine.id, DRAFTS, address)
                 task_status.started()
                 task_status = trio.TASK_STATUS_IGNORED
-            self.ends.append((trio.current_time(), engine.crashed_by))
-            await trio.sleep(LAPSE_S)
+            self.crashes.append((trio.current_time(), engine.crashed_by))
+            await trio.sleep(DEREGISTER_DELAY_S)
             self.store.remove(f"servers/{engine.id}")
-            await trio.sleep(DOWN_S - LAPSE_S)
+            await trio.sleep(DOWNTIME_S - DEREGISTER_DELAY_S)
 
-    def _note_arrival(self, request: str) -> None:
-        sending = self.sendings[request]
-        if sending.body in self.bodies:
-            self.arrivals.append(Arrival(sending, trio.current_time()))
+    def _record_arrival(self, request_id: str) -> None:
+        request = self.requests[request_id]
+        if request.body in self.crash_bodies:
+            self.arrivals.append(Arrival(request, trio.current_time()))
 
-    async def play(self, callers: trio.Nursery) -> None:
+    async def generate_load(self, callers: trio.Nursery) -> None:
         """Let callers come, some with a request that crashes engines."""
-        for body in self.bodies:
-            callers.start_soon(self._send_again, body, callers)
+        for body in self.crash_bodies:
+            callers.start_soon(self._resend, body, callers)
         for path, per_s in (("once", 10.0), ("draft", 10.0), ("look", 5.0)):
-            callers.start_soon(self._come, path, per_s, callers)
+            callers.start_soon(self._call_repeatedly, path, per_s, callers)
 
-    async def _send_again(self, body: bytes, callers: trio.Nursery) -> None:
+    async def _resend(self, body: bytes, callers: trio.Nursery) -> None:
         while True:
             callers.start_soon(self._call, "once", body)
-            await trio.sleep(self.draw.uniform(0.3, 0.6))
+            await trio.sleep(self.rng.uniform(0.3, 0.6))
 
-    async def _come(self, path: str, per_s: float, callers: trio.Nursery) -> None:
+    async def _call_repeatedly(
+        self, path: str, per_s: float, callers: trio.Nursery
+    ) -> None:
         for number in itertools.count():
             body = b"same" if path == "look" else b"%s-%d" % (path.encode(), number)
             callers.start_soon(self._call, path, body)
-            await trio.sleep(self.draw.expovariate(per_s))
+            await trio.sleep(self.rng.expovariate(per_s))
 
     async def _call(self, path: str, body: bytes) -> None:
-        request = f"r{next(self.numbers)}"
-        number = self.draw.randint(1, self.count)
-        self.sendings[request] = Sending(body, number, trio.current_time())
-        prompt = None if path == "look" else ("900,10", f"aa:600,{request[1:]}:300")
+        request_id = f"r{next(self.numbers)}"
+        number = self.rng.randint(1, self.instance_count)
+        self.requests[request_id] = SentRequest(body, number, trio.current_time())
+        prompt = None if path == "look" else ("900,10", f"aa:600,{request_id[1:]}:300")
         headers = make_request_headers(
-            request, HOST, API_KEY, CLIENT_TIMEOUT_S, prompt, body
+            request_id, HOST, API_KEY, CLIENT_TIMEOUT_S, prompt, body
         )
-        kind = "crashing" if body in self.bodies else path
+        kind = "crashing" if body in self.crash_bodies else path
         self.statuses[kind, await self.exchange(number, path, headers, body)] += 1
 
     def describe(self) -> str:
         """Return how many engines ended, and how often requests reached them."""
-        return f"{len(self.ends)} ends, {len(self.arrivals)} arrivals"
+        return f"{len(self.crashes)} ends, {len(self.arrivals)} arrivals"
 
 
-def find_faults(soak: CrashSoak) -> list[str]:
+def find_violations(soak: CrashSoak) -> list[str]:
     """Return each request that reached engines too often after it crashed some."""
-    limits = Limits()
-    late = Counter(each.sending.body for each in soak.late(limits))
+    limits = SendLimits()
+    late_counts = Counter(each.request.body for each in soak.late_arrivals(limits))
     return [
         f"{body!r} reached engines {count} times late"
-        for body, count in late.items()
-        if count > limits.sends
+        for body, count in late_counts.items()
+        if count > limits.max_arrivals
     ]
 
 
 def main(arguments: list[str] | None = None) -> int:
     """Play seeds one after the other; return 1 if any breaks the limits."""
-    parser = soak_parser(__doc__, 20.0, 7700)
+    parser = make_parser(__doc__, 20.0, 7700)
     parser.add_argument("--engines", type=int, default=9)
     parser.add_argument("--crashing", type=int, default=1)
     options = parser.parse_args(arguments)
@@ -213,7 +217,7 @@
     def make_soak(settings: RunSettings) -> CrashSoak:
         return CrashSoak(settings, options.engines, options.crashing)
 
-    return play_seeds(options, make_soak, find_faults)
+    return run_seeds(options, make_soak, find_violations)
 
 
 if __name__ == "__main__":
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/soak.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/soak.py
@@ -18,7 +18,7 @@
 
 import trio
 
-from .soak_callers import SoakCallers, Verdict
+from .soak_callers import SoakCallers, SoakResult
 from .soak_instances import SoakInstances
 from .users_platform import (
     Deployment,
@@ -31,16 +31,16 @@
 from .users_platform.deployment import DRAFTS, ORDERS
 from .users_platform.upstream import STREAM_EVENTS
 
-__all__ = ["Soak", "main", "play_seed"]
+__all__ = ["Soak", "main", "run_seed"]
 
 INSTANCES = 4
 CALLERS = 6
 RECOVERY_S = 6.0
-LAST_CALLS = 20
-MOST_FAILED_AT_END = 2
+FINAL_CALLS = 20
+MAX_FAILED_FINAL_CALLS = 2
 # A change has to be in force everywhere this long after it was acknowledged.
-IN_FORCE_S = 2.0
-LAST_BYTES = 4000
+CONFIG_ADOPTION_LIMIT_S = 2.0
+LOG_TAIL_BYTES = 4000
 
 
 class Soak:
@@ -54,9 +54,9 @@
         How long faults come.
     ports
         First of five ports that all instances share.
-    folder
+    directory
         Where settings and logs go.
-    count
+    instance_count
         Instances, in two zones.
     """
 
@@ -65,33 +65,33 @@
         seed: int,
         seconds: float,
         ports: int,
-        folder: Path,
-        count: int = INSTANCES,
+        directory: Path,
+        instance_count: int = INSTANCES,
     ) -> None:
-        self.draw = random.Random(seed)
-        self.count = count
+        self.rng = random.Random(seed)
+        self.instance_count = instance_count
         self.seconds = seconds
         self.ports = ports
         self.store = Store()
         self.deployment = Deployment(self.store)
         self.upstreams: dict[str, Upstream] = {}
         self.proxies: dict[str, FaultProxy] = {}
-        self.instances = SoakInstances(ports, folder)
-        self.callers = SoakCallers(self.draw, ports)
+        self.instances = SoakInstances(ports, directory)
+        self.callers = SoakCallers(self.rng, ports)
 
-    async def run(self) -> Verdict:
+    async def run(self) -> SoakResult:
         """Play the faults, let all recover, and return the verdict."""
         async with trio.open_nursery() as nursery:
             await self._start(nursery)
             try:
-                await self._play(nursery)
+                await self._inject_faults(nursery)
                 await self._recover()
-                await self._check_end()
+                await self._check_recovered()
             finally:
-                self.instances.end()
+                self.instances.kill_all()
             nursery.cancel_scope.cancel()
         self.callers.check_runs(self.upstreams.values())
-        return self.callers.verdict
+        return self.callers.result
 
     async def _start(self, nursery: trio.Nursery) -> None:
         await nursery.start(self.store.run, f"127.0.9.2:{self.ports + 4}")
@@ -106,9 +106,9 @@
             await nursery.start(self.upstreams[name].run, target)
             await self._start_proxy(nursery, name, address, target)
             self.deployment.register(name, service, address)
-        for number in range(1, self.count + 1):
+        for number in range(1, self.instance_count + 1):
             self.instances.start(number)
-        await self.instances.until_ready()
+        await self.instances.wait_until_ready()
 
     async def _start_proxy(
         self, nursery: trio.Nursery, name: str, listen: str, target: str
@@ -118,38 +118,38 @@
 
     # Faults
 
-    async def _play(self, nursery: trio.Nursery) -> None:
-        stop = trio.current_time() + self.seconds
+    async def _inject_faults(self, nursery: trio.Nursery) -> None:
+        end_at = trio.current_time() + self.seconds
         async with trio.open_nursery() as callers:
             for _ in range(CALLERS):
-                callers.start_soon(self._call_until, stop)
-            while trio.current_time() < stop:
-                nursery.start_soon(self.draw.choice(self._faults()))
-                await trio.sleep(self.draw.uniform(0.2, 1.0))
+                callers.start_soon(self._call_until, end_at)
+            while trio.current_time() < end_at:
+                nursery.start_soon(self.rng.choice(self._fault_actions()))
+                await trio.sleep(self.rng.uniform(0.2, 1.0))
 
-    def _faults(self) -> list:
+    def _fault_actions(self) -> list:
         return [
             self._kill,
             self._kill_all,
             self._stop,
             self._pause,
             self._store_fails,
-            self._store_forgets,
-            self._store_slow,
+            self._store_drops_history,
+            self._store_delays,
             self._upstream_sheds,
-            self._upstream_breaks,
+            self._upstream_cuts_streams,
             self._upstream_hangs,
-            self._upstream_leaves,
-            self._path_fails,
-            self._path_forgets,
-            self._configure,
+            self._upstream_drains,
+            self._proxy_fails,
+            self._proxy_stalls,
+            self._publish_config,
         ]
 
-    def _some_instance(self) -> int:
-        return self.draw.choice(list(self.instances.processes))
+    def _sample_instance(self) -> int:
+        return self.rng.choice(list(self.instances.processes))
 
     async def _kill(self) -> None:
-        await self._restart(self._some_instance(), signal.SIGKILL)
+        await self._restart(self._sample_instance(), signal.SIGKILL)
 
     async def _kill_all(self) -> None:
         async with trio.open_nursery() as nursery:
@@ -157,62 +157,67 @@
                 nursery.start_soon(self._restart, number, signal.SIGKILL)
 
     async def _stop(self) -> None:
-        await self._restart(self._some_instance(), signal.SIGTERM)
+        await self._restart(self._sample_instance(), signal.SIGTERM)
 
-    async def _restart(self, number: int, how: signal.Signals) -> None:
+    async def _restart(self, number: int, stop_signal: signal.Signals) -> None:
         process = self.instances.processes[number]
         if process.poll() is not None:
             return  # another fault has it already
-        ends = {0, -signal.SIGKILL}
-        if not self.instances.has_begun(number):
-            ends.add(-signal.SIGTERM)
-        process.send_signal(how)
+        expected_returncodes = {0, -signal.SIGKILL}
+        if not self.instances.has_logged_start(number):
+            expected_returncodes.add(-signal.SIGTERM)
+        process.send_signal(stop_signal)
         while process.poll() is None:
             await trio.sleep(0.02)
-        if how is signal.SIGTERM and process.returncode not in ends:
-            self.callers.verdict.broken.append(f"stop ended with {process.returncode}")
+        if (
+            stop_signal is signal.SIGTERM
+            and process.returncode not in expected_returncodes
+        ):
+            self.callers.result.violations.append(
+                f"stop ended with {process.returncode}"
+            )
         if self.instances.processes[number] is process:
             self.instances.start(number)
 
     async def _pause(self) -> None:
-        process = self.instances.processes[self._some_instance()]
+        process = self.instances.processes[self._sample_instance()]
         process.send_signal(signal.SIGSTOP)
-        await trio.sleep(self.draw.uniform(0.3, 2.0))
+        await trio.sleep(self.rng.uniform(0.3, 2.0))
         process.send_signal(signal.SIGCONT)
 
     async def _store_fails(self) -> None:
-        self.store.faults[""] = self.draw.choice(list(StoreFault))
-        await trio.sleep(self.draw.uniform(0.3, 2.0))
+        self.store.faults[""] = self.rng.choice(list(StoreFault))
+        await trio.sleep(self.rng.uniform(0.3, 2.0))
         self.store.faults.clear()
 
-    async def _store_forgets(self) -> None:
+    async def _store_drops_history(self) -> None:
         self.store.drop_history()
 
-    async def _store_slow(self) -> None:
-        self.store.delay_s = self.draw.uniform(0.0, 0.4)
+    async def _store_delays(self) -> None:
+        self.store.delay_s = self.rng.uniform(0.0, 0.4)
         await trio.sleep(1.0)
         self.store.delay_s = 0.0
 
     async def _upstream_sheds(self) -> None:
-        upstream = self.draw.choice(list(self.upstreams.values()))
+        upstream = self.rng.choice(list(self.upstreams.values()))
         upstream.is_shedding = True
-        await trio.sleep(self.draw.uniform(0.2, 1.0))
+        await trio.sleep(self.rng.uniform(0.2, 1.0))
         upstream.is_shedding = False
 
-    async def _upstream_breaks(self) -> None:
-        upstream = self.draw.choice(list(self.upstreams.values()))
-        upstream.cut_after_events = self.draw.randint(1, STREAM_EVENTS - 1)
-        await trio.sleep(self.draw.uniform(0.2, 1.0))
+    async def _upstream_cuts_streams(self) -> None:
+        upstream = self.rng.choice(list(self.upstreams.values()))
+        upstream.cut_after_events = self.rng.randint(1, STREAM_EVENTS - 1)
+        await trio.sleep(self.rng.uniform(0.2, 1.0))
         upstream.cut_after_events = 0
 
     async def _upstream_hangs(self) -> None:
-        upstream = self.draw.choice(list(self.upstreams.values()))
+        upstream = self.rng.choice(list(self.upstreams.values()))
         upstream.work_s = 2.5
-        await trio.sleep(self.draw.uniform(0.2, 0.6))
+        await trio.sleep(self.rng.uniform(0.2, 0.6))
         upstream.work_s = 0.01
 
-    async def _upstream_leaves(self) -> None:
-        name = self.draw.choice(["e2", "s2"])
+    async def _upstream_drains(self) -> None:
+        name = self.rng.choice(["e2", "s2"])
         number = list(self.upstreams).index(name) + 1
         service = DRAFTS if name == "e2" else ORDERS
         address = f"127.0.7.{number}:{self.ports}"
@@ -220,25 +225,25 @@
         await trio.sleep(1.0)
         self.deployment.register(name, service, address)
 
-    async def _path_fails(self) -> None:
-        proxy = self.draw.choice(list(self.proxies.values()))
-        proxy.delay_s = self.draw.uniform(0.05, 0.4)
-        proxy.set_fault(self.draw.choice(list(ProxyFault)))
-        await trio.sleep(self.draw.uniform(0.3, 2.0))
+    async def _proxy_fails(self) -> None:
+        proxy = self.rng.choice(list(self.proxies.values()))
+        proxy.delay_s = self.rng.uniform(0.05, 0.4)
+        proxy.set_fault(self.rng.choice(list(ProxyFault)))
+        await trio.sleep(self.rng.uniform(0.3, 2.0))
         proxy.set_fault(ProxyFault.NONE)
 
-    async def _path_forgets(self) -> None:
-        self.draw.choice(list(self.proxies.values())).stall_open_connections()
+    async def _proxy_stalls(self) -> None:
+        self.rng.choice(list(self.proxies.values())).stall_open_connections()
 
-    async def _configure(self) -> None:
+    async def _publish_config(self) -> None:
         self.deployment.publish()
 
     # Calls
 
-    async def _call_until(self, stop: float) -> None:
-        while trio.current_time() < stop:
-            await self.callers.call(self._some_instance())
-            await trio.sleep(self.draw.uniform(0.0, 0.1))
+    async def _call_until(self, end_at: float) -> None:
+        while trio.current_time() < end_at:
+            await self.callers.call(self._sample_instance())
+            await trio.sleep(self.rng.uniform(0.0, 0.1))
 
     # Checks
 
@@ -258,42 +263,52 @@
                 0.01,
             )
         await trio.sleep(RECOVERY_S)
-        await self.instances.until_ready()
+        await self.instances.wait_until_ready()
 
-    async def _check_end(self) -> None:
+    async def _check_recovered(self) -> None:
         """After the last fault nearly every call must be served again."""
-        number = self.deployment.publish()
-        await self._check_in_force(number)
+        config_number = self.deployment.publish()
+        await self._check_config_adopted(config_number)
         served = 0
-        for call in range(LAST_CALLS):
-            served += await self.callers.call(call % self.count + 1)
-        if served < LAST_CALLS - MOST_FAILED_AT_END:
-            text = f"{served} of {LAST_CALLS} served after the end, number {number}"
-            self.callers.verdict.broken.append(text)
+        for call in range(FINAL_CALLS):
+            served += await self.callers.call(call % self.instance_count + 1)
+        if served < FINAL_CALLS - MAX_FAILED_FINAL_CALLS:
+            text = (
+                f"{served} of {FINAL_CALLS} served after the end, "
+                f"number {config_number}"
+            )
+            self.callers.result.violations.append(text)
 
-    async def _check_in_force(self, number: int) -> None:
+    async def _check_config_adopted(self, config_number: int) -> None:
         """Every instance must soon have the newest version."""
-        late: set[int] = set(self.instances.processes)
-        with trio.move_on_after(IN_FORCE_S):
-            while late:
-                for instance in list(late):
-                    if await self.instances.version(instance) >= number:
-                        late.discard(instance)
+        pending: set[int] = set(self.instances.processes)
+        with trio.move_on_after(CONFIG_ADOPTION_LIMIT_S):
+            while pending:
+                for instance in list(pending):
+                    if await self.instances.config_number(instance) >= config_number:
+                        pending.discard(instance)
                 await trio.sleep(0.05)
-        for instance in sorted(late):
-            text = f"instance {instance} has no version {number} after {IN_FORCE_S} s"
-            self.callers.verdict.broken.append(text)
+        for instance in sorted(pending):
+            text = (
+                f"instance {instance} has no version {config_number} "
+                f"after {CONFIG_ADOPTION_LIMIT_S} s"
+            )
+            self.callers.result.violations.append(text)
 
 
-def play_seed(seed: int, seconds: float, ports: int, count: int = INSTANCES) -> Verdict:
+def run_seed(
+    seed: int, seconds: float, ports: int, instance_count: int = INSTANCES
+) -> SoakResult:
     """Play one seed; show the instances' last lines if it broke a promise."""
     with tempfile.TemporaryDirectory(prefix="soak-") as name:
-        folder = Path(name)
-        verdict = trio.run(Soak(seed, seconds, ports, folder, count).run)
-        if verdict.broken:
-            for path in sorted(folder.glob("*.log")):
-                print(path.read_text(errors="replace")[-LAST_BYTES:], file=sys.stderr)
-    return verdict
+        directory = Path(name)
+        result = trio.run(Soak(seed, seconds, ports, directory, instance_count).run)
+        if result.violations:
+            for path in sorted(directory.glob("*.log")):
+                print(
+                    path.read_text(errors="replace")[-LOG_TAIL_BYTES:], file=sys.stderr
+                )
+    return result
 
 
 def main(arguments: list[str] | None = None) -> int:
@@ -312,12 +327,12 @@
     options = parser.parse_args(arguments)
     failed = 0
     for seed in range(options.first, options.first + options.seeds):
-        verdict = play_seed(seed, options.seconds, options.ports, options.instances)
-        failed += bool(verdict.broken)
-        state = "; ".join(verdict.broken) or "kept"
+        result = run_seed(seed, options.seconds, options.ports, options.instances)
+        failed += bool(result.violations)
+        state = "; ".join(result.violations) or "kept"
         print(
-            f"seed {seed}: {verdict.calls} calls, {verdict.served} served, "
-            f"{verdict.refused} refused: {state}",
+            f"seed {seed}: {result.calls} calls, {result.served} served, "
+            f"{result.refused} refused: {state}",
             flush=True,
         )
     return 1 if failed else 0
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/soak_callers.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/soak_callers.py
@@ -12,23 +12,23 @@
 from .users_platform.headers import make_request_headers
 from .users_platform.upstream import STREAM_EVENTS
 
-__all__ = ["SoakCallers", "Verdict"]
+__all__ = ["SoakCallers", "SoakResult"]
 
-PROMISES = frozenset({408, 421, 429, 503})
+NOT_EXECUTED_STATUSES = frozenset({408, 421, 429, 503})
 CLIENT_TIMEOUT_S = 3.0
-WORDS = b"".join(
+EXPECTED_STREAM = b"".join(
     b"id: %d\ndata: word-%d\n\n" % (n, n) for n in range(1, STREAM_EVENTS + 1)
 )
 
 
 @dataclass
-class Verdict:
-    """What was seen; `broken` names each promise that was not kept."""
+class SoakResult:
+    """What was seen; `violations` names each promise that was not kept."""
 
     calls: int = 0
     served: int = 0
     refused: int = 0
-    broken: list[str] = field(default_factory=list)
+    violations: list[str] = field(default_factory=list)
 
 
 class SoakCallers:
@@ -36,26 +36,26 @@
 
     Parameters
     ----------
-    draw
+    rng
         Chooses the calls; shared with the faults.
     ports
         First of five ports that all instances share.
     """
 
-    def __init__(self, draw: random.Random, ports: int) -> None:
-        self.draw = draw
+    def __init__(self, rng: random.Random, ports: int) -> None:
+        self.rng = rng
         self.ports = ports
-        self.verdict = Verdict()
-        self.promised: set[str] = set()
-        self._calls = 0
+        self.result = SoakResult()
+        self.refused_requests: set[str] = set()
+        self._call_count = 0
 
     async def call(self, number: int) -> bool:
         """Make one call, check its answer, and tell whether it was served."""
-        self._calls += 1
-        request = f"r{self._calls}"
-        path = self.draw.choice(["/draft/x", "/once/x", "/order/x", "/look/x"])
+        self._call_count += 1
+        request = f"r{self._call_count}"
+        path = self.rng.choice(["/draft/x", "/once/x", "/order/x", "/look/x"])
         is_stream = path in ("/draft/x", "/once/x")
-        self.verdict.calls += 1
+        self.result.calls += 1
         try:
             with trio.fail_after(CLIENT_TIMEOUT_S + 1.0):
                 status, headers, body = await self._exchange(
@@ -63,16 +63,16 @@
                 )
         except (ExchangeError, trio.TooSlowError):
             return False  # a connection that ends promises nothing
-        if status in PROMISES:
-            self.verdict.refused += 1
-            self.promised.add(request)
+        if status in NOT_EXECUTED_STATUSES:
+            self.result.refused += 1
+            self.refused_requests.add(request)
         if status != 200:
             return False
-        self.verdict.served += 1
-        expected = WORDS if is_stream else b"answer-to-" + request.encode()
+        self.result.served += 1
+        expected = EXPECTED_STREAM if is_stream else b"answer-to-" + request.encode()
         seal = headers.get(b"x-buckthornwall-response-seal")
         if body != expected or seal != b"seal-of-" + request.encode():
-            self.verdict.broken.append(f"{path} {request}: {body[:80]!r}")
+            self.result.violations.append(f"{path} {request}: {body[:80]!r}")
         return True
 
     async def _exchange(
@@ -100,6 +100,6 @@
                 once[request] = once.get(request, 0) + count
         for request, count in once.items():
             if count > 1:
-                self.verdict.broken.append(f"{request} ran {count} times")
-            if request in self.promised:
-                self.verdict.broken.append(f"{request} ran though said not to")
+                self.result.violations.append(f"{request} ran {count} times")
+            if request in self.refused_requests:
+                self.result.violations.append(f"{request} ran though said not to")
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/soak_instances.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/soak_instances.py
@@ -12,8 +12,8 @@
 
 __all__ = ["SoakInstances"]
 
-READY_S = 15.0
-STARTING = b"event=starting"
+READY_TIMEOUT_S = 15.0
+START_EVENT = b"event=starting"
 
 
 class SoakInstances:
@@ -23,60 +23,63 @@
     ----------
     ports
         First of five ports that all share.
-    folder
+    directory
         Where settings and logs go.
     """
 
-    def __init__(self, ports: int, folder: Path) -> None:
+    def __init__(self, ports: int, directory: Path) -> None:
         self.ports = ports
-        self.folder = folder
+        self.directory = directory
         self.processes: dict[int, subprocess.Popen] = {}
-        self.starts: dict[int, int] = {}
+        self.start_counts: dict[int, int] = {}
 
     def start(self, number: int) -> None:
         """Start an instance, for the first time or again."""
-        path = self.folder / f"node-{number}.ini"
+        path = self.directory / f"node-{number}.ini"
         path.write_text(format_settings(number, [1, 2], self.ports))
         command = [sys.executable, "-m", "buckthornwall.start"]
         command += ["--interface", "platform", "--settings", str(path)]
-        self.starts[number] = self.starts.get(number, 0) + 1
-        with self.log(number).open("ab") as log:
+        self.start_counts[number] = self.start_counts.get(number, 0) + 1
+        with self.log_path(number).open("ab") as log:
             self.processes[number] = subprocess.Popen(command, stdout=log, stderr=log)
 
-    def log(self, number: int) -> Path:
+    def log_path(self, number: int) -> Path:
         """Return where an instance writes its lines."""
-        return self.folder / f"node-{number}.log"
+        return self.directory / f"node-{number}.log"
 
-    def has_begun(self, number: int) -> bool:
+    def has_logged_start(self, number: int) -> bool:
         """Tell whether the instance's last process has said that it starts.
 
         Until then its interpreter is being loaded, and signals end it.
         """
-        return self.log(number).read_bytes().count(STARTING) >= self.starts[number]
+        return (
+            self.log_path(number).read_bytes().count(START_EVENT)
+            >= self.start_counts[number]
+        )
 
-    def end(self) -> None:
+    def kill_all(self) -> None:
         """Kill all that were started."""
         for process in self.processes.values():
             process.kill()
             process.wait()
 
-    async def until_ready(self) -> None:
+    async def wait_until_ready(self) -> None:
         """Wait until all say that they are ready."""
-        with trio.fail_after(READY_S):
+        with trio.fail_after(READY_TIMEOUT_S):
             for number in self.processes:
                 while not await self._is_ready(number):
                     await trio.sleep(0.05)
 
     async def _is_ready(self, number: int) -> bool:
-        status, _ = await self._ask(f"127.0.8.{number}:{self.ports + 1}", b"/ready")
+        status, _ = await self._get(f"127.0.8.{number}:{self.ports + 1}", b"/ready")
         return status == 200
 
-    async def version(self, number: int) -> int:
+    async def config_number(self, number: int) -> int:
         """Return the configuration's number in force at an instance; 0 if unknown."""
-        status, body = await self._ask(f"127.0.8.{number}:{self.ports + 3}", b"/status")
+        status, body = await self._get(f"127.0.8.{number}:{self.ports + 3}", b"/status")
         return json.loads(body)["number"] if status == 200 else 0
 
-    async def _ask(self, address: str, path: bytes) -> tuple[int, bytes]:
+    async def _get(self, address: str, path: bytes) -> tuple[int, bytes]:
         """Return status and body; status 0 where no answer comes within a second."""
         body = b""
         try:
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/soak_run.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/soak_run.py
@@ -17,7 +17,7 @@
 from .users_platform.deployment import API_KEY, HOST
 from .users_platform.headers import make_request_headers
 
-__all__ = ["CLIENT_TIMEOUT_S", "RunSettings", "SoakRun", "play_seeds", "soak_parser"]
+__all__ = ["CLIENT_TIMEOUT_S", "RunSettings", "SoakRun", "run_seeds", "make_parser"]
 
 SETTLE_S = 3.0
 # How long callers wait.
@@ -28,7 +28,7 @@
 
 
 # Different shared segments of prompts, so that all engines have work.
-SUBJECTS = 24
+PROMPT_PREFIXES = 24
 
 
 @dataclass(frozen=True)
@@ -36,20 +36,20 @@
     """What all soaks are told.
 
     `seed` draws who is asked, and when; callers come for `seconds`. `ports` is the
-    first of five that all instances share, and `folder` where settings and logs go.
+    first of five that all instances share, and `directory` where settings and logs go.
     With `restarts` instances are killed and started in turn.
     """
 
     seed: int
     seconds: float
     ports: int
-    folder: Path
+    directory: Path
     instances: int
     restarts: bool = False
 
 
 @dataclass(frozen=True)
-class Asked:
+class RequestTarget:
     """The path of a request, and the instance that it was sent to."""
 
     path: str
@@ -66,23 +66,23 @@
 
     Attributes
     ----------
-    asked : dict
+    targets : dict
         Where a request was sent to, by its id.
-    started : list of tuple
+    restart_events : list of tuple
         When which instance was killed or started.
     """
 
     def __init__(self, settings: RunSettings) -> None:
-        self.draw = random.Random(settings.seed)
+        self.rng = random.Random(settings.seed)
         self.seconds = settings.seconds
         self.ports = settings.ports
-        self.count = settings.instances
+        self.instance_count = settings.instances
         self.restarts = settings.restarts
         self.store = Store()
         self.deployment = Deployment(self.store)
-        self.instances = SoakInstances(settings.ports, settings.folder)
-        self.asked: dict[str, Asked] = {}
-        self.started: list[tuple[float, int]] = []
+        self.instances = SoakInstances(settings.ports, settings.directory)
+        self.targets: dict[str, RequestTarget] = {}
+        self.restart_events: list[tuple[float, int]] = []
         self.statuses: Counter[tuple[str, str]] = Counter()
         self.numbers = itertools.count(1)
 
@@ -91,21 +91,21 @@
         async with trio.open_nursery() as nursery:
             await nursery.start(self.store.run, f"127.0.9.1:{self.ports + 4}")
             await self.start_upstreams(nursery)
-            for number in range(1, self.count + 1):
+            for number in range(1, self.instance_count + 1):
                 self.instances.start(number)
             try:
-                await self.instances.until_ready()
+                await self.instances.wait_until_ready()
                 await trio.sleep(SETTLE_S)
-                await self.play_all()
+                await self.run_load()
             finally:
-                self.instances.end()
+                self.instances.kill_all()
             nursery.cancel_scope.cancel()
 
     async def start_upstreams(self, nursery: trio.Nursery) -> None:
         """Publish a configuration, start upstreams and register them."""
         raise NotImplementedError
 
-    async def play(self, callers: trio.Nursery) -> None:
+    async def generate_load(self, callers: trio.Nursery) -> None:
         """Let callers come."""
         raise NotImplementedError
 
@@ -113,46 +113,46 @@
         """Return what a run came to, in a line."""
         raise NotImplementedError
 
-    async def play_all(self) -> None:
+    async def run_load(self) -> None:
         """Let callers come for their time, and restart instances if asked to."""
         with trio.move_on_after(self.seconds):
             async with trio.open_nursery() as callers:
                 if self.restarts:
                     callers.start_soon(self._restart_in_turn)
-                await self.play(callers)
+                await self.generate_load(callers)
 
     def has_restarted(self, instance: int, at: float, within_s: float) -> bool:
         """Tell whether an instance was killed or started shortly before a time."""
         return any(
-            number == instance and 0 <= at - then <= within_s
-            for then, number in self.started
+            number == instance and 0 <= at - event_at <= within_s
+            for event_at, number in self.restart_events
         )
 
     async def _restart_in_turn(self) -> None:
-        for number in itertools.cycle(range(1, self.count + 1)):
+        for number in itertools.cycle(range(1, self.instance_count + 1)):
             await trio.sleep(RESTART_INTERVAL_S)
             self.instances.processes[number].kill()
             self.instances.processes[number].wait()
-            self.started.append((trio.current_time(), number))
+            self.restart_events.append((trio.current_time(), number))
             await trio.sleep(RESTART_PAUSE_S)
             self.instances.start(number)
-            self.started.append((trio.current_time(), number))
+            self.restart_events.append((trio.current_time(), number))
 
-    async def come(
+    async def call_repeatedly(
         self, path: str, per_s: float, callers: trio.Nursery, has_prompt: bool = True
     ) -> None:
         """Let callers come, so many a second on average."""
         while True:
             callers.start_soon(self.call, path, has_prompt)
-            await trio.sleep(self.draw.expovariate(per_s))
+            await trio.sleep(self.rng.expovariate(per_s))
 
     async def call(self, path: str, has_prompt: bool) -> None:
         """Ask a drawn instance once."""
         request = f"r{next(self.numbers)}"
-        number = self.draw.randint(1, self.count)
-        self.asked[request] = Asked(path, number)
-        subject = f"{self.draw.randrange(SUBJECTS):x}a"
-        prompt = ("900,10", f"{subject}:600,{request[1:]}:300") if has_prompt else None
+        number = self.rng.randint(1, self.instance_count)
+        self.targets[request] = RequestTarget(path, number)
+        prefix = f"{self.rng.randrange(PROMPT_PREFIXES):x}a"
+        prompt = ("900,10", f"{prefix}:600,{request[1:]}:300") if has_prompt else None
         headers = make_request_headers(request, HOST, API_KEY, CLIENT_TIMEOUT_S, prompt)
         self.statuses[path, await self.exchange(number, path, headers)] += 1
 
@@ -182,7 +182,7 @@
         return "left"
 
 
-def soak_parser(
+def make_parser(
     description: str, seconds: float, ports: int, can_restart: bool = True
 ) -> argparse.ArgumentParser:
     """Return a parser of what all soaks are told."""
@@ -198,20 +198,20 @@
     return parser
 
 
-def play_seeds(
+def run_seeds(
     options: argparse.Namespace,
     make_soak: Callable[[RunSettings], SoakRun],
-    find_faults: Callable[[SoakRun], list[str]],
+    find_violations: Callable[[SoakRun], list[str]],
 ) -> int:
     """Play seeds one after the other and print verdicts; return 1 if any broke.
 
     Parameters
     ----------
     options
-        What `soak_parser` read.
+        What `make_parser` read.
     make_soak
         Returns a run.
-    find_faults
+    find_violations
         Returns a line for each promise that a run broke.
     """
     failed = 0
@@ -227,10 +227,10 @@
             )
             soak = make_soak(settings)
             trio.run(soak.run)
-        faults = find_faults(soak)
-        failed += bool(faults)
-        print(f"seed {seed}: {'BROKEN' if faults else 'kept'}; {soak.describe()}")
-        for line in faults:
+        violations = find_violations(soak)
+        failed += bool(violations)
+        print(f"seed {seed}: {'BROKEN' if violations else 'kept'}; {soak.describe()}")
+        for line in violations:
             print(f"  {line}")
         for (kind, status), count in sorted(soak.statuses.items()):
             print(f"  {kind} {status}: {count}")
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/tests/test_cold_at_size.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/tests/test_cold_at_size.py
@@ -7,7 +7,7 @@
 from buckthornwall.pools import UpstreamEntry, UpstreamState
 from buckthornwall.utils import UpstreamId, ZoneId
 
-from buckthornwall_standins.limit_soak import most_in_window
+from buckthornwall_standins.limit_soak import max_in_window
 from buckthornwall_standins.peers_sim import PeersSimulation
 from buckthornwall_standins.peers_sim.peer import SIM_POOL
 
@@ -116,7 +116,7 @@
     await trouble(fleet)
     start_upstream(fleet, told_late=told_late)
     await trio.sleep(COLD_S)
-    assert most_in_window(upstreams.arrivals, 1.0) <= ALLOWED
+    assert max_in_window(upstreams.arrivals, 1.0) <= ALLOWED
 
 
 async def test_a_cold_upstream_is_used(autojump_clock, nursery):
@@ -141,4 +141,4 @@
     fleet.reopen(ZoneId("z2"))
     await trio.sleep(COLD_S)
     cold = [at for at in upstreams.arrivals if at - reopened_at <= COLD_S]
-    assert most_in_window(cold, 1.0) <= ALLOWED
+    assert max_in_window(cold, 1.0) <= ALLOWED
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/tests/test_crash_soak.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/tests/test_crash_soak.py
@@ -5,17 +5,22 @@
 import pytest
 import trio
 
-from buckthornwall_standins.crash_soak import Arrival, CrashSoak, Limits, Sending
-from buckthornwall_standins.crash_soak import find_late as late_arrivals
+from buckthornwall_standins.crash_soak import (
+    Arrival,
+    CrashSoak,
+    SendLimits,
+    SentRequest,
+)
+from buckthornwall_standins.crash_soak import find_late_arrivals as late_arrivals
 from buckthornwall_standins.soak_run import RunSettings
 
-LIMITS = Limits()
+LIMITS = SendLimits()
 BODY = b"b"
-ENDS = [(float(at), BODY) for at in (1, 2, 3, 4)]
+CRASHES = [(float(at), BODY) for at in (1, 2, 3, 4)]
 
 
 def arrival(at, instance=1):
-    return Arrival(Sending(BODY, instance, at), at)
+    return Arrival(SentRequest(BODY, instance, at), at)
 
 
 @pytest.mark.live
@@ -28,16 +33,16 @@
     settings = RunSettings(seed, 14.0, 7710 + 10 * seed, tmp_path, 6, restarts)
     soak = CrashSoak(settings, engines=9, crashing=crashing)
     trio.run(soak.run)
-    late = Counter(each.sending.body for each in soak.late(LIMITS))
-    assert len(soak.ends) >= LIMITS.crashes
-    assert {body: n for body, n in late.items() if n > LIMITS.sends} == {}
+    late = Counter(each.request.body for each in soak.late_arrivals(LIMITS))
+    assert len(soak.crashes) >= LIMITS.crash_threshold
+    assert {body: n for body, n in late.items() if n > LIMITS.max_arrivals} == {}
 
 
 def test_sends_count_from_some_time_after_the_third_end():
     arrivals = [arrival(5.9), arrival(6.1)]
-    assert late_arrivals(arrivals, ENDS, [], LIMITS) == arrivals[1:]
+    assert late_arrivals(arrivals, CRASHES, [], LIMITS) == arrivals[1:]
 
 
 def test_sends_of_an_instance_that_has_just_started_do_not_count():
     arrivals = [arrival(7.0), arrival(7.0, instance=2), arrival(9.1)]
-    assert late_arrivals(arrivals, ENDS, [(6.0, 1)], LIMITS) == arrivals[1:]
+    assert late_arrivals(arrivals, CRASHES, [(6.0, 1)], LIMITS) == arrivals[1:]
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/tests/test_limit_soak.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/tests/test_limit_soak.py
@@ -3,10 +3,10 @@
 import pytest
 import trio
 
-from buckthornwall_standins.limit_soak import Allowance, LimitSoak, most_in_window
+from buckthornwall_standins.limit_soak import LimitSoak, RateAllowance, max_in_window
 from buckthornwall_standins.soak_run import RunSettings
 
-ALLOWANCE = Allowance()
+ALLOWANCE = RateAllowance()
 
 
 @pytest.mark.live
@@ -21,11 +21,11 @@
     settings = RunSettings(seed, 15.0, ports, tmp_path, instances, restarts)
     soak = LimitSoak(settings, engines=9, limited=limited, per_s=per_s)
     trio.run(soak.run)
-    allowed = ALLOWANCE.requests(per_s)
-    over = {name: n for name, n in soak.most(ALLOWANCE).items() if n > allowed}
+    allowed = ALLOWANCE.max_requests(per_s)
+    over = {name: n for name, n in soak.peak_requests(ALLOWANCE).items() if n > allowed}
     assert over == {}
 
 
 def test_the_most_in_a_window_is_found():
-    assert most_in_window([0.0, 1.0, 2.0, 4.5, 5.0, 5.5, 8.6], 4.0) == 4
-    assert most_in_window([], 4.0) == 0
+    assert max_in_window([0.0, 1.0, 2.0, 4.5, 5.0, 5.5, 8.6], 4.0) == 4
+    assert max_in_window([], 4.0) == 0
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/tests/test_limits_at_size.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/tests/test_limits_at_size.py
@@ -9,10 +9,10 @@
 from buckthornwall.routing import PoolId
 from buckthornwall.utils import UpstreamId, ZoneId
 
-from buckthornwall_standins.limit_soak import Allowance, most_in_window
+from buckthornwall_standins.limit_soak import RateAllowance, max_in_window
 from buckthornwall_standins.peers_sim import PeersSimulation
 
-ALLOWANCE = Allowance(grace_s=2.0)
+ALLOWANCE = RateAllowance(grace_s=2.0)
 SETTLE_S = 6.0
 ENTRY = UpstreamEntry(
     UpstreamId("u"), PoolId("p"), "10.9.0.1:1", ZoneId("z1"), 64, UpstreamState.READY
@@ -86,8 +86,8 @@
     named_at = trio.current_time()
     await trio.sleep(seconds)
     arrivals = upstream.since(named_at)
-    allowed = ALLOWANCE.requests(per_s)
-    assert most_in_window(arrivals, ALLOWANCE.window_s) <= allowed
+    allowed = ALLOWANCE.max_requests(per_s)
+    assert max_in_window(arrivals, ALLOWANCE.window_s) <= allowed
     assert len(arrivals) > 5
 
 
@@ -105,8 +105,8 @@
         fleet.start(speaker.address, speaker.zone)
         await trio.sleep(1.0)
     arrivals = upstream.since(named_at)
-    allowed = ALLOWANCE.requests(1.0)
-    assert most_in_window(arrivals, ALLOWANCE.window_s) <= allowed
+    allowed = ALLOWANCE.max_requests(1.0)
+    assert max_in_window(arrivals, ALLOWANCE.window_s) <= allowed
 
 
 async def test_all_hear_that_a_limit_has_ended(autojump_clock, nursery):
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/tests/test_soak.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/tests/test_soak.py
@@ -2,12 +2,12 @@
 
 import pytest
 
-from buckthornwall_standins.soak import play_seed
+from buckthornwall_standins.soak import run_seed
 
 
 @pytest.mark.live
 @pytest.mark.parametrize("seed", [1, 2])
 def test_no_promise_is_broken_under_faults(seed):
-    verdict = play_seed(seed, seconds=4.0, ports=7800 + 10 * seed)
-    assert verdict.broken == []
-    assert verdict.served > 20
+    result = run_seed(seed, seconds=4.0, ports=7800 + 10 * seed)
+    assert result.violations == []
+    assert result.served > 20
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/tests/test_zone_soak.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/tests/test_zone_soak.py
@@ -18,8 +18,8 @@
     settings = RunSettings(seed, 18.0, ports, tmp_path, instances, restarts)
     soak = ZoneSoak(settings, engines=4, per_s=80.0)
     trio.run(soak.run)
-    assert soak.late == []
-    assert soak.strays == 0
-    assert soak.most_cold <= soak.bounds.most_cold
+    assert soak.late_arrivals == []
+    assert soak.region_violations == 0
+    assert soak.peak_cold_per_s <= soak.bounds.max_cold_per_s
     assert soak.statuses["draft", "200"] > 0
     assert soak.statuses["bound", "200"] > 0
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/tier_soak.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/tier_soak.py
@@ -12,7 +12,7 @@
 import trio
 from buckthornwall.http1 import ClientConnection, ExchangeError
 
-from .soak_run import RunSettings, SoakRun, play_seeds, soak_parser
+from .soak_run import RunSettings, SoakRun, make_parser, run_seeds
 from .tiers import RequestAttempt, find_inversions
 from .users_platform import Engine
 from .users_platform.deployment import API_KEY, DRAFTS, HOST, make_route
@@ -20,14 +20,14 @@
 
 __all__ = ["TierSoak", "main"]
 
-ENGINE_TOKENS = 600_000
+ENGINE_MEMORY_TOKENS = 600_000
 # Callers leave without an event after the longest of these: seconds, and times their
 # target and their longest pause.
 MIN_CLIENT_TIMEOUT_S, CLIENT_TIMEOUT_TARGETS, CLIENT_TIMEOUT_PAUSES = 2.0, 4, 8
 
 
 @dataclass(frozen=True)
-class Kind:
+class TrafficClass:
     """Requests of one route; times in seconds, lengths in tokens on average."""
 
     name: str
@@ -36,11 +36,11 @@
     target_s: float
     max_pause_s: float
     deadline_s: float
-    shared: int
-    own: int
+    shared_tokens: int
+    unique_tokens: int
     events: int
-    subjects: int
-    burst: float = 1.0
+    prefixes: int
+    burst_factor: float = 1.0
 
     @property
     def client_timeout_s(self) -> float:
@@ -53,10 +53,12 @@
         return min(longest, self.deadline_s)
 
 
-KINDS = (
-    Kind("review", 2, 10, 1.5, 1.0, 10.0, 13_300, 3_720, 24, 60, burst=2.9),
-    Kind("reply", 1, 12, 0.6, 0.4, 5.0, 6_300, 2_890, 10, 20, burst=2.0),
-    Kind("question", 0, 12, 0.3, 0.25, 10.0, 350, 1_110, 34, 60),
+TRAFFIC_CLASSES = (
+    TrafficClass(
+        "review", 2, 10, 1.5, 1.0, 10.0, 13_300, 3_720, 24, 60, burst_factor=2.9
+    ),
+    TrafficClass("reply", 1, 12, 0.6, 0.4, 5.0, 6_300, 2_890, 10, 20, burst_factor=2.0),
+    TrafficClass("question", 0, 12, 0.3, 0.25, 10.0, 350, 1_110, 34, 60),
 )
 
 
@@ -75,74 +77,98 @@
         super().__init__(settings)
         self.engines = [Engine(f"e{number}") for number in range(1, engines + 1)]
         self.attempts: list[RequestAttempt] = []
-        self._began = 0.0
+        self._load_started_at = 0.0
 
     async def start_upstreams(self, nursery: trio.Nursery) -> None:
         """Publish a configuration, start engines and register them."""
         self.deployment.routes = [
             make_route(
-                kind.name,
-                f"/{kind.name}/",
+                traffic.name,
+                f"/{traffic.name}/",
                 "stream",
                 DRAFTS,
-                priority=kind.tier,
-                target_latency_ms=kind.target_s * 1000,
-                gap_aim_ms=kind.max_pause_s * 1000,
-                timeout_ms=int(kind.deadline_s * 1000),
-                resumable=kind.tier == 1,
-                max_attempts=2 if kind.tier == 1 else 1,
+                priority=traffic.tier,
+                target_latency_ms=traffic.target_s * 1000,
+                gap_aim_ms=traffic.max_pause_s * 1000,
+                timeout_ms=int(traffic.deadline_s * 1000),
+                resumable=traffic.tier == 1,
+                max_attempts=2 if traffic.tier == 1 else 1,
             )
-            for kind in KINDS
+            for traffic in TRAFFIC_CLASSES
         ]
         self.deployment.slots = self.engines[0].slots
-        self.deployment.memory_tokens = ENGINE_TOKENS
+        self.deployment.memory_tokens = ENGINE_MEMORY_TOKENS
         self.deployment.publish()
         for number, engine in enumerate(self.engines, 1):
             address = f"127.0.7.{number}:{self.ports}"
             await nursery.start(engine.run, address)
             self.deployment.register(engine.id, DRAFTS, address)
 
-    async def play_all(self) -> None:
+    async def run_load(self) -> None:
         """Let callers come for their time, and wait until all have left."""
-        self._began = trio.current_time()
+        self._load_started_at = trio.current_time()
         async with trio.open_nursery() as callers:
-            for kind in KINDS:
-                callers.start_soon(self._come, kind, callers)
+            for traffic in TRAFFIC_CLASSES:
+                callers.start_soon(self._call_repeatedly, traffic, callers)
 
     def _now(self) -> float:
-        return trio.current_time() - self._began
+        return trio.current_time() - self._load_started_at
 
-    async def _come(self, kind: Kind, callers: trio.Nursery) -> None:
+    async def _call_repeatedly(
+        self, traffic: TrafficClass, callers: trio.Nursery
+    ) -> None:
         while (now := self._now()) < self.seconds:
             is_burst = self.seconds / 4 <= now < 3 * self.seconds / 4
-            rate = kind.per_s * (kind.burst if is_burst else 1.0)
-            callers.start_soon(self._call, replace(kind, own=self._length(kind.own)))
-            await trio.sleep(self.draw.expovariate(rate))
+            rate = traffic.per_s * (traffic.burst_factor if is_burst else 1.0)
+            callers.start_soon(
+                self._call,
+                replace(
+                    traffic,
+                    unique_tokens=self._sample_length(traffic.unique_tokens),
+                ),
+            )
+            await trio.sleep(self.rng.expovariate(rate))
 
-    def _length(self, mean: int) -> int:
-        return max(1, int(mean * min(14.0, self.draw.lognormvariate(-0.5, 1.0))))
+    def _sample_length(self, mean: int) -> int:
+        return max(1, int(mean * min(14.0, self.rng.lognormvariate(-0.5, 1.0))))
 
-    async def _call(self, kind: Kind) -> None:
+    async def _call(self, traffic: TrafficClass) -> None:
         """Ask once; who is refused does not come back."""
         request = f"r{next(self.numbers)}"
-        instance = self.draw.randint(1, self.count)
-        subject = self.draw.randrange(kind.subjects)
-        segments = f"{kind.tier}{subject:x}:{kind.shared},f{request[1:]}:{kind.own}"
-        tokens = kind.shared + kind.own
-        prompt = (f"{tokens},{kind.events}", segments)
-        headers = make_request_headers(request, HOST, API_KEY, kind.deadline_s, prompt)
-        at = self._now()
-        begun_at, end = await self._exchange(kind, instance, headers)
-        self.statuses[kind.name, end] += 1
-        self.attempts.append(RequestAttempt(kind.name, kind.tier, tokens, at, begun_at))
+        instance = self.rng.randint(1, self.instance_count)
+        prefix = self.rng.randrange(traffic.prefixes)
+        segments = (
+            f"{traffic.tier}{prefix:x}:{traffic.shared_tokens},"
+            f"f{request[1:]}:{traffic.unique_tokens}"
+        )
+        tokens = traffic.shared_tokens + traffic.unique_tokens
+        prompt = (f"{tokens},{traffic.events}", segments)
+        headers = make_request_headers(
+            request, HOST, API_KEY, traffic.deadline_s, prompt
+        )
+        started_at = self._now()
+        first_event_at, outcome = await self._exchange(traffic, instance, headers)
+        self.statuses[traffic.name, outcome] += 1
+        self.attempts.append(
+            RequestAttempt(
+                traffic.name,
+                traffic.tier,
+                tokens,
+                started_at,
+                first_event_at,
+            )
+        )
 
     async def _exchange(
-        self, kind: Kind, instance: int, headers: list[tuple[bytes, bytes]]
+        self,
+        traffic: TrafficClass,
+        instance: int,
+        headers: list[tuple[bytes, bytes]],
     ) -> tuple[float | None, str]:
         """Return when the first event came, or None, and how the attempt ended."""
-        begun_at, connection = None, None
-        path = f"/{kind.name}/x".encode()
-        with trio.move_on_after(kind.client_timeout_s) as scope:
+        first_event_at, connection = None, None
+        path = f"/{traffic.name}/x".encode()
+        with trio.move_on_after(traffic.client_timeout_s) as scope:
             try:
                 address = f"127.0.8.{instance}:{self.ports}"
                 connection = await ClientConnection.connect(address, 1.0)
@@ -151,29 +177,29 @@
                 if head.status != 200:
                     return None, str(head.status)
                 while await connection.receive_data():
-                    begun_at = begun_at or self._now()
-                    scope.deadline = trio.current_time() + kind.deadline_s
-                return begun_at, "whole"
+                    first_event_at = first_event_at or self._now()
+                    scope.deadline = trio.current_time() + traffic.deadline_s
+                return first_event_at, "whole"
             except ExchangeError as error:
-                return begun_at, error.failure.value
+                return first_event_at, error.failure.value
             finally:
                 if connection is not None:
                     connection.close()
-        return begun_at, "left"
+        return first_event_at, "left"
 
     def describe(self) -> str:
         """Return how many attempts there were."""
         return f"{len(self.attempts)} attempts"
 
 
-def find_faults(soak: TierSoak) -> list[str]:
+def find_violations(soak: TierSoak) -> list[str]:
     """Return each window in which less urgent requests began in others' place."""
     return [str(each) for each in find_inversions(soak.attempts)]
 
 
 def main(arguments: list[str] | None = None) -> int:
     """Play seeds one after the other; return 1 if any shows an inversion."""
-    parser = soak_parser(__doc__, 16.0, 7900, can_restart=False)
+    parser = make_parser(__doc__, 16.0, 7900, can_restart=False)
     parser.set_defaults(instances=12)
     parser.add_argument("--engines", type=int, default=8)
     options = parser.parse_args(arguments)
@@ -181,7 +207,7 @@
     def make_soak(settings: RunSettings) -> TierSoak:
         return TierSoak(settings, options.engines)
 
-    return play_seeds(options, make_soak, find_faults)
+    return run_seeds(options, make_soak, find_violations)
 
 
 if __name__ == "__main__":
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/users_platform/deployment.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/users_platform/deployment.py
@@ -81,10 +81,10 @@
     """What the operator and the upstreams write to a store."""
 
     store: Store
-    number: int = 1
+    config_number: int = 1
     slots: int = 8
     memory_tokens: int = 100_000
-    cold_s: float = 0.0
+    cold_start_s: float = 0.0
     cold_per_s: float = 0.0
     keys: list[str] = field(default_factory=lambda: [API_KEY])
     routes: list[dict[str, Any]] = field(
@@ -98,16 +98,16 @@
 
     def publish(self) -> int:
         """Write the configuration under the next number; return that."""
-        self.number += 3
+        self.config_number += 3
         config = {
-            "version": self.number,
+            "version": self.config_number,
             "routes": self.routes,
             "services": [
                 {
                     "name": DRAFTS,
                     "health_path": "/health",
                     "max_connections": 100,
-                    "cold_start_s": self.cold_s,
+                    "cold_start_s": self.cold_start_s,
                     "cold_per_s": self.cold_per_s,
                     "engine": {
                         "slots": self.slots,
@@ -126,7 +126,7 @@
             "tenants": [{"name": "one", "api_keys": self.keys}],
         }
         self.store.put("op/config", config)
-        return self.number
+        return self.config_number
 
     def evacuate(self, zone: str) -> None:
         """Ask that upstreams of a zone get no new requests."""
@@ -143,7 +143,7 @@
         address: str,
         state: str = "ready",
         zone: str = "zone-1",
-        cold_s: float = 0.0,
+        cold_remaining_s: float = 0.0,
     ) -> None:
         """Write an upstream's registration."""
         entry = {
@@ -153,7 +153,7 @@
             "version": "v1",
             "slots": self.slots,
             "state": state,
-            "cold_remaining_ms": int(cold_s * 1000),
+            "cold_remaining_ms": int(cold_remaining_s * 1000),
             "sequence": 1,
         }
         self.store.put(f"servers/{upstream}", entry)
