--- a/packages/buckthornwall-ctl/src/buckthornwall_ctl/main.py
+++ b/packages/buckthornwall-ctl/src/buckthornwall_ctl/main.py
@@ -23,7 +23,7 @@
 EXIT_UNREACHABLE = 3
 EPILOG = (
     "Exit status: 0 success, 1 the check found an error, 2 wrong usage, "
-    "3 an instance could not be reached."
+    "3 an instance could not be read."
 )
 
 
