--- a/packages/buckthornwall/src/buckthornwall/records/__init__.py
+++ b/packages/buckthornwall/src/buckthornwall/records/__init__.py
@@ -1,4 +1,4 @@
-"""The published, versioned configuration and how an instance adopts it."""
+"""The published, versioned configuration and its adoption by instances."""
 
 from .core import RecordView, parse_records
 from .schema import (
--- a/packages/buckthornwall/src/buckthornwall/records/core.py
+++ b/packages/buckthornwall/src/buckthornwall/records/core.py
@@ -1,4 +1,4 @@
-"""From published bytes to the view of the records that decisions read."""
+"""Parsing and indexing of published records."""
 
 from collections import defaultdict
 from dataclasses import dataclass, field
@@ -29,10 +29,10 @@
 
 @dataclass
 class RecordView:
-    """One adopted set of records, indexed for the decisions.
+    """A set of records, indexed for look-ups.
 
-    `refused` lists the records that this version of the program cannot read,
-    and those that depend on them, as ``(code, detail)``.
+    `refused` lists, as ``(code, detail)``, the records whose schema this version of
+    the program does not know, and those that depend on them.
     """
 
     number: int
@@ -47,11 +47,11 @@
     team_by_key_hash: dict[str, Team] = field(default_factory=dict)
 
     def engines_of(self, model: ModelId) -> list[Upstream]:
-        """Return the engines whose records say that they serve `model`."""
+        """Return the engines that serve `model` according to their records."""
         return self._serving(UpstreamKind.ENGINE, model)
 
     def services_of(self, service: str) -> list[Upstream]:
-        """Return the upstreams of a plain service."""
+        """Return the upstreams that serve a plain service."""
         return self._serving(UpstreamKind.SERVICE, service)
 
     def _serving(self, kind: UpstreamKind, name: str) -> list[Upstream]:
@@ -62,7 +62,7 @@
         ]
 
     def table(self, kind: str) -> dict[str, Any]:
-        """Return the records of one kind by id."""
+        """Return the records of one kind, keyed by id."""
         return {
             "class": self.classes,
             "team": self.teams,
@@ -73,16 +73,16 @@
 
 
 def digest_of(raw: bytes) -> str:
-    """Return the digest by which instances compare sets."""
+    """Return the digest by which instances compare sets of records."""
     return sha256(raw).hexdigest()[:DIGEST_CHARS]
 
 
 def parse_records(raw: bytes) -> RecordView:
-    """Validate a published set and index it.
+    """Validate and index a published set of records.
 
-    A record of an unknown schema version is refused alone; of several known
-    versions of one record the newest is used. Anything else that is wrong
-    refuses the whole set, alike on every instance.
+    A record of an unknown schema version is refused on its own. If a record is
+    present in several known versions, the newest is used. Any other fault refuses
+    the whole set, in the same way on every instance.
 
     Parameters
     ----------
@@ -92,7 +92,7 @@
     Raises
     ------
     RecordError
-        With the path of the bad field.
+        If the set is invalid; the detail holds the path of the bad field.
     """
     number, entries = _decode_envelope(raw)
     view = RecordView(number, digest_of(raw), raw)
@@ -146,7 +146,7 @@
     seen = chosen_schemas.get((kind, record_id))
     if seen == schema:
         raise RecordError(
-            ResultCode.RECORD_INVALID, f"{path} {kind} {record_id}: stands twice"
+            ResultCode.RECORD_INVALID, f"{path} {kind} {record_id}: duplicate record"
         )
     if seen is None or schema > seen:
         chosen_schemas[kind, record_id] = schema
@@ -158,16 +158,20 @@
         raise RecordError(ResultCode.RECORD_INVALID, f"{path}: expected an object")
     kind, schema, record_id = entry.get("kind"), entry.get("schema"), entry.get("id")
     if not isinstance(kind, str) or kind not in SCHEMAS:
-        raise RecordError(ResultCode.RECORD_INVALID, f"{path}.kind: not known")
+        raise RecordError(ResultCode.RECORD_INVALID, f"{path}.kind: unknown")
     if type(schema) is not int or schema < 1:
-        raise RecordError(ResultCode.RECORD_INVALID, f"{path}.schema: expected 1 up")
+        raise RecordError(
+            ResultCode.RECORD_INVALID, f"{path}.schema: expected 1 or more"
+        )
     if not isinstance(record_id, str) or not record_id:
-        raise RecordError(ResultCode.RECORD_INVALID, f"{path}.id: expected a name")
+        raise RecordError(
+            ResultCode.RECORD_INVALID, f"{path}.id: expected a non-empty string"
+        )
     return kind, schema, record_id
 
 
 def _references(view: RecordView) -> list[tuple[str, str, str, str]]:
-    """List ``(kind, id, target kind, target id)`` for every reference."""
+    """Return ``(kind, id, target kind, target id)`` of all references."""
     found = [
         ("team", team.id, "class", class_id)
         for team in view.teams.values()
@@ -186,7 +190,13 @@
 
 
 def _check_references(view: RecordView, unknown: set[tuple[str, str]]) -> None:
-    """Refuse dangling references; drop what depends on an unknown schema."""
+    """Drop the records that refer to one of an unknown schema.
+
+    Raises
+    ------
+    RecordError
+        If a record refers to one that does not exist.
+    """
     dropped: dict[str, set[str]] = defaultdict(set)
     for kind, record_id, target_kind, target_id in _references(view):
         if target_id in view.table(target_kind):
--- a/packages/buckthornwall/src/buckthornwall/records/schema.py
+++ b/packages/buckthornwall/src/buckthornwall/records/schema.py
@@ -1,8 +1,8 @@
-"""Schemas of the record kinds: version 2 is in use, version 1 is moved up.
+"""Schemas of the record kinds: version 2 is current, version 1 is upgraded to it.
 
-The classes without a version in their names are version 2 and the form that
-the rest of the package reads. `SCHEMAS` holds, for each kind and version, the
-type to decode and the function that moves it to the form in use.
+The classes without a version in their names are of version 2, which the rest of the
+package uses. `SCHEMAS` holds, for each kind and version, the type to decode and the
+function that upgrades it to version 2.
 """
 
 from collections.abc import Callable
@@ -39,28 +39,28 @@
 
 
 class SchedulingMode(Enum):
-    """Who chooses the engine: one scheduler for the pool, or each node alone."""
+    """Whether one scheduler chooses a pool's engines, or each instance by itself."""
 
     POOLED = "pooled"
     ALONE = "alone"
 
 
 class TargetKind(Enum):
-    """What a route leads to."""
+    """Kind of a route's target."""
 
     MODEL = "model"
     SERVICE = "service"
 
 
 class UpstreamKind(Enum):
-    """What an upstream is."""
+    """Kind of an upstream."""
 
     ENGINE = "engine"
     SERVICE = "service"
 
 
 class _Record(Struct, kw_only=True, forbid_unknown_fields=True, frozen=True):
-    """Fields that every record carries."""
+    """Fields common to all records."""
 
     kind: str
     schema: int
@@ -75,11 +75,10 @@
 
 
 class ServiceClass(_Record, frozen=True):
-    """A service class; tier 0 is urgent, and a higher tier less so.
+    """A service class; tier 0 is urgent, higher tiers are less urgent.
 
-    `weight` is the class's part in fair queueing by tokens among the classes
-    that are not urgent; `floor` the share of tokens that no load takes away
-    from it.
+    `weight` is the weight of the class in fair queueing by tokens among the classes
+    that are not urgent, `floor` the share of tokens guaranteed to it under any load.
     """
 
     id: ClassId
@@ -95,7 +94,7 @@
 
 
 class Team(_Record, frozen=True):
-    """A team: hashes of its bearer keys, its classes and its share."""
+    """A team: the hashes of its API keys, its service classes and its share."""
 
     id: TeamId
     key_sha256: Annotated[list[KeyHash], Meta(min_length=1)]
@@ -105,10 +104,9 @@
 
 
 class Model(_Record, frozen=True):
-    """A model and the way its pool of engines is scheduled.
+    """A model and the scheduling of its pool of engines.
 
-    `urgent_reserve` is the share of the pool's slots that only urgent requests
-    may take.
+    `urgent_reserve` is the share of the pool's slots reserved for urgent requests.
     """
 
     id: ModelId
@@ -117,7 +115,7 @@
 
 
 class Route(_Record, frozen=True):
-    """A name that callers use, and the model or service that it leads to."""
+    """A name that callers use, and the model or service that it refers to."""
 
     id: RouteId
     to: TargetKind
@@ -128,13 +126,13 @@
 
 
 class EngineOrder(Struct, kw_only=True, forbid_unknown_fields=True, frozen=True):
-    """What an engine should hold: adapters by name with their version."""
+    """Adapters that an engine should have loaded: name to version."""
 
     adapters: dict[str, str] = {}
 
 
 class Upstream(_Record, frozen=True):
-    """An engine or a service at an address, and what it serves."""
+    """An engine or service, its address, and the models or services that it serves."""
 
     id: UpstreamId
     type: UpstreamKind
@@ -251,12 +249,12 @@
 
 
 def convert(raw: dict[str, Any], kind: str, schema: int) -> Any:
-    """Decode one raw record and move it to the form in use.
+    """Decode a raw record and upgrade it to the current version.
 
     Raises
     ------
     msgspec.ValidationError
-        With the path of the bad field.
+        If the record is invalid; the message holds the path of the bad field.
     """
     record_type, upgrade = SCHEMAS[kind][schema]
     return upgrade(msgspec.convert(raw, type=record_type))
--- a/packages/buckthornwall/src/buckthornwall/records/store.py
+++ b/packages/buckthornwall/src/buckthornwall/records/store.py
@@ -1,4 +1,4 @@
-"""Adoption of records: only a higher number, whole and validated."""
+"""Adoption of records: only validated, complete sets with a higher number."""
 
 from enum import Enum
 
@@ -10,7 +10,7 @@
 
 
 class Adoption(Enum):
-    """What became of an offered set."""
+    """Result of offering a set of records."""
 
     ADOPTED = "adopted"
     OLDER = "older"
@@ -19,11 +19,12 @@
 
 
 class RecordStore:
-    """The set in force on this instance.
+    """Holds the set of records in force on this instance.
 
-    The platform numbers what it publishes, and a number never goes down here,
-    so neither a stale service nor a stale peer can bring an older set back.
-    Should two sets ever carry one number, the higher digest wins everywhere.
+    The platform numbers the sets that it publishes. The number in force never
+    decreases, so neither a stale platform nor a stale peer can restore an older set.
+    If two sets have the same number, every instance adopts the one with the higher
+    digest.
     """
 
     def __init__(self) -> None:
@@ -42,12 +43,12 @@
         return self.view.digest if self.view else ""
 
     def is_newer(self, number: int, digest: str) -> bool:
-        """Tell whether a set of this number and digest would replace ours."""
+        """Return whether this number and digest would replace those in force."""
         newer = (number, digest) > (self.number, self.digest)
         return newer and digest not in self.refused_digests
 
     def offer(self, raw: bytes) -> Adoption:
-        """Adopt `raw` if it is valid and newer than what is in force."""
+        """Adopt the set `raw` if it is valid and newer than the one in force."""
         try:
             view = parse_records(raw)
         except RecordError as error:
--- a/packages/buckthornwall/src/buckthornwall/records/tests/test_records.py
+++ b/packages/buckthornwall/src/buckthornwall/records/tests/test_records.py
@@ -45,7 +45,7 @@
     return encode(records)
 
 
-def test_version_1_of_each_kind_is_moved_to_the_form_in_use():
+def test_version_1_of_each_kind_is_upgraded():
     records = make_records()
     records["records"] += VERSION_1
     view = parse_records(encode(records))
@@ -56,7 +56,7 @@
     assert view.upstreams["old"].address == "10.0.0.9:80"
 
 
-def test_both_versions_of_a_record_live_side_by_side_and_the_newer_is_used():
+def test_newer_of_two_versions_of_a_record_is_used():
     records = make_records()
     old = {**VERSION_1[0], "id": "urgent", "first_token_ms": 9000}
     records["records"].insert(0, old)
@@ -66,7 +66,7 @@
     assert view.classes["only-old"].targets.first_token_s == 9.0
 
 
-def test_an_unknown_schema_is_refused_alone_with_what_depends_on_it():
+def test_unknown_schema_refuses_only_the_record_and_its_dependents():
     records = make_records()
     records["records"] += [
         {"kind": "class", "schema": 3, "id": "new", "anything": True},
@@ -97,7 +97,7 @@
         ({"low": {"floor": 1.5}}, ResultCode.RECORD_INVALID, "$.floor"),
     ],
 )
-def test_a_bad_record_refuses_the_set_and_names_the_field(change, code, path):
+def test_invalid_record_refuses_the_set_and_names_the_field(change, code, path):
     with pytest.raises(RecordError) as caught:
         parse_records(encode(make_records(**change)))
     assert caught.value.code is code
@@ -105,20 +105,20 @@
 
 
 @pytest.mark.parametrize("raw", [b"", b"[]", b"{", b'{"number": 0, "records": []}'])
-def test_a_malformed_set_has_a_code(raw):
+def test_malformed_set_raises_record_error_with_its_code(raw):
     with pytest.raises(RecordError) as caught:
         parse_records(raw)
     assert caught.value.code is ResultCode.RECORDS_MALFORMED
 
 
-def test_only_a_higher_number_is_adopted(store):
+def test_set_with_lower_or_equal_number_is_not_adopted(store):
     assert store.offer(encode(make_records(5))) is Adoption.ADOPTED
     assert store.offer(encode(make_records(4))) is Adoption.OLDER
     assert store.offer(encode(make_records(5))) is Adoption.SAME
     assert store.number == 5
 
 
-def test_a_refused_set_leaves_the_one_in_force_and_is_not_wanted_again(store):
+def test_refused_set_is_not_adopted_or_requested_again(store):
     bad = with_record({"kind": "class", "schema": 2, "id": "x"}, number=9)
     assert store.offer(bad) is Adoption.REFUSED
     assert store.number == 1
@@ -127,7 +127,7 @@
     assert store.is_newer(9, "another")
 
 
-def test_of_two_sets_under_one_number_all_keep_the_same():
+def test_two_sets_with_one_number_converge_on_one():
     one = encode(make_records(7))
     other = encode(make_records(7, urgent={"weight": 2}))
     kept = set()
@@ -156,7 +156,7 @@
         json_values,
     ),
 )
-def test_no_record_crashes_the_parser(kind, schema, fields):
+def test_arbitrary_records_raise_only_record_errors(kind, schema, fields):
     raw = with_record({"kind": kind, "schema": schema, **fields})
     try:
         parse_records(raw)
@@ -165,5 +165,5 @@
 
 
 @given(st.binary(max_size=200))
-def test_no_bytes_crash_the_store(raw):
+def test_arbitrary_bytes_are_refused_by_the_store(raw):
     assert RecordStore().offer(raw) is Adoption.REFUSED
