--- a/packages/buckthornwall-standins/src/buckthornwall_standins/known_red.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/known_red.py
@@ -1,7 +1,7 @@
-"""The list of tests that are red for a fault that is not mended yet.
+"""The list of tests that fail because of a known fault that is not fixed yet.
 
 A line is ``TEST | COMMAND AND SEED | CAUSE | ISSUE``, with the test's id as pytest
-prints it; without the part in brackets it stands for all cases of that test.
+prints it. An id without parameters in brackets covers all cases of the test.
 """
 
 from pathlib import Path
@@ -12,7 +12,7 @@
 
 
 def read_known_red(path: Path) -> dict[str, str]:
-    """Return the lines of the list by test id; empty without a list."""
+    """Return the lines of the list by test id, or nothing if there is no list."""
     if not path.exists():
         return {}
     lines = [line for line in path.read_text().splitlines() if line.strip()]
@@ -20,5 +20,5 @@
 
 
 def find_entry(known: dict[str, str], test: str) -> str | None:
-    """Return the line on a test, or on all of its cases."""
+    """Return the line that covers a test, or None."""
     return known.get(test) or known.get(test.partition("[")[0])
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/listings.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/listings.py
@@ -1,4 +1,4 @@
-"""What is published of a fleet's instances and upstreams, as the platform has it."""
+"""Records and list entries of a fleet, in the format of the platform."""
 
 from typing import Any
 
@@ -8,7 +8,7 @@
 def make_upstream_record(
     upstream: str, kind: str, address: str, serves: str, slots: int | None = None
 ) -> dict[str, Any]:
-    """Return the record of an engine or a service; services have no slots."""
+    """Return the record of an engine, or of a service, which has no slots."""
     record: dict[str, Any] = {
         "kind": "upstream",
         "schema": 2,
@@ -25,7 +25,7 @@
 def make_instance_entry(
     instance: str, address: str, zone: str, health: str
 ) -> dict[str, Any]:
-    """Return an instance as the list of instances names it."""
+    """Return the entry of an instance in the list of instances."""
     return {
         "id": instance,
         "kind": "entry",
@@ -38,5 +38,5 @@
 def make_upstream_entry(
     upstream: str, kind: str, address: str, leaving: bool
 ) -> dict[str, Any]:
-    """Return an upstream as the list of instances names it."""
+    """Return the entry of an upstream in the list of instances."""
     return {"id": upstream, "kind": kind, "address": address, "leaving": leaving}
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/users_platform/__init__.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/users_platform/__init__.py
@@ -1,12 +1,12 @@
-"""Small stand-ins for the users' platform, by its published protocol.
+"""Small stand-ins for the users' platform, following its published protocol.
 
 ============= ============================================================
-`store`       the store that is read and watched, and its faults
-`upstream`    a model engine and a plain service that count what they run
-`engine`      a model engine that reads prompts in real time, urgent ones first
-`wire`        headers that callers and upstreams have in common
-`fault_proxy`        a loopback proxy whose connections can be harmed
-`deployment`  settings, configuration and registrations that fit together
+`store`       key-value store with range reads, watches and injected faults
+`upstream`    model engine or plain service that counts the requests it runs
+`engine`      model engine that prefills prompts by priority, in real time
+`headers`     headers of requests and responses
+`fault_proxy` loopback proxy that injects network faults
+`deployment`  matching settings, configuration and registrations
 ============= ============================================================
 """
 
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/users_platform/cold.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/users_platform/cold.py
@@ -1,4 +1,4 @@
-"""An engine that is cold for a while, and crashes where it is overrun meanwhile."""
+"""An engine with a cold-start period, which crashes if overloaded while it is cold."""
 
 from collections import deque
 from dataclasses import dataclass, field
@@ -22,11 +22,11 @@
     Attributes
     ----------
     max_per_s : float
-        Requests in a second above which it crashes while it is cold.
+        Requests within a second above which it crashes while it is cold.
     cold_until : float
-        When it is cold no longer, in seconds.
+        End of the cold period, on trio's clock in seconds.
     peak_cold_per_s : int
-        The most requests that came within a second while it was cold.
+        Largest number of requests received within a second while cold.
     """
 
     max_per_s: float = 20.0
@@ -35,7 +35,7 @@
     _recent_arrivals: deque[float] = field(default_factory=deque)
 
     def start_cold(self, seconds: float) -> None:
-        """Be cold from now on, for so many seconds."""
+        """Start a cold period of `seconds`."""
         self.cold_until = trio.current_time() + seconds
         self._recent_arrivals.clear()
 
@@ -48,7 +48,7 @@
         await super()._handle(incoming, response)
 
     def _record_request(self, now: float) -> None:
-        """Count a request; crash where there are too many."""
+        """Count a request that arrives while cold; crash above `max_per_s`."""
         if now >= self.cold_until:
             return
         self._recent_arrivals.append(now)
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/users_platform/crashable.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/users_platform/crashable.py
@@ -1,4 +1,4 @@
-"""An upstream that ends while it serves."""
+"""An upstream that can be made to crash while it serves."""
 
 from dataclasses import dataclass, field
 
@@ -16,7 +16,7 @@
     Attributes
     ----------
     crashed : trio.Event
-        Set when it has to end.
+        Set to make it crash.
     """
 
     crashed: trio.Event = field(default_factory=trio.Event)
@@ -24,7 +24,7 @@
     async def run_until_crash(
         self, address: str, *, task_status=trio.TASK_STATUS_IGNORED
     ) -> None:
-        """Serve until it has to end; then all of its sockets are closed."""
+        """Serve until `crashed` is set, then close all sockets."""
         async with trio.open_nursery() as nursery:
             await nursery.start(self.run, address)
             task_status.started()
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/users_platform/crashing.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/users_platform/crashing.py
@@ -1,4 +1,4 @@
-"""An engine that one request crashes, and that is started again."""
+"""An engine that crashes when it runs a request with a certain body."""
 
 from dataclasses import dataclass
 
@@ -10,7 +10,7 @@
 
 __all__ = ["CRASH_MARKER", "CrashingEngine"]
 
-# A body with this text crashes the engine that runs it.
+# A body that contains this text crashes the engine that runs it.
 CRASH_MARKER = b"crash"
 EXPECT_INSTANCE_HEADER = PREFIX.lower() + b"expect-instance"
 ATTEMPT_ID_HEADER = PREFIX.lower() + b"attempt-id"
@@ -23,9 +23,9 @@
     Attributes
     ----------
     crash_delay_s : float
-        Seconds from the beginning of the run to the end of the engine.
+        Seconds from the end of `work_s` to the crash.
     crashed_by : bytes
-        The body that did it.
+        Body of the request that crashed it.
     """
 
     crash_delay_s: float = 0.09
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/users_platform/deployment.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/users_platform/deployment.py
@@ -1,4 +1,4 @@
-"""Settings, a configuration and registrations that fit together."""
+"""Matching instance settings, configuration and upstream registrations."""
 
 from dataclasses import dataclass, field
 from typing import Any
@@ -16,16 +16,16 @@
 
 
 def format_settings(number: int, seeds: list[int], ports: int) -> str:
-    """Return the settings file of instance `number`.
+    """Return the contents of the settings file of instance `number`.
 
     Parameters
     ----------
     number
-        Which loopback address it listens on.
+        Number of the instance; selects its loopback address and zone.
     seeds
-        Instances that it greets first.
+        Numbers of the instances it contacts first to join the others.
     ports
-        First of five ports that all instances share.
+        First of five consecutive ports, the same for all instances.
     """
     ip = f"127.0.8.{number}"
     seed_addresses = ",".join(f"127.0.8.{seed}:{ports + 2}" for seed in seeds)
@@ -56,12 +56,12 @@
 
 
 def make_settings(number: int, seeds: list[int], ports: int) -> RouterSettings:
-    """Return the checked settings of instance `number`."""
+    """Return the validated settings of instance `number`."""
     return RouterSettings.from_config(format_settings(number, seeds, ports))
 
 
 def make_route(name: str, path: str, kind: str, service: str, **overrides: Any) -> dict:
-    """Return a route as the operator writes it; `overrides` replaces what is usual."""
+    """Return a route as the operator writes it; `overrides` replace the defaults."""
     return {
         "name": name,
         "host": HOST,
@@ -78,7 +78,7 @@
 
 @dataclass
 class Deployment:
-    """What the operator and the upstreams write to a store."""
+    """Writes what the operator and the upstreams write to a store."""
 
     store: Store
     config_number: int = 1
@@ -97,7 +97,7 @@
     )
 
     def publish(self) -> int:
-        """Write the configuration under the next number; return that."""
+        """Write the configuration with the next number and return that number."""
         self.config_number += 3
         config = {
             "version": self.config_number,
@@ -129,11 +129,11 @@
         return self.config_number
 
     def evacuate(self, zone: str) -> None:
-        """Ask that upstreams of a zone get no new requests."""
+        """Request that upstreams of a zone receive no new requests."""
         self.store.put(f"op/evacuate/{zone}", {})
 
     def reopen(self, zone: str) -> None:
-        """Take an evacuation back."""
+        """Withdraw the evacuation of a zone."""
         self.store.remove(f"op/evacuate/{zone}")
 
     def register(
@@ -145,7 +145,7 @@
         zone: str = "zone-1",
         cold_remaining_s: float = 0.0,
     ) -> None:
-        """Write an upstream's registration."""
+        """Write the registration of an upstream."""
         entry = {
             "service": service,
             "address": address,
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/users_platform/engine.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/users_platform/engine.py
@@ -1,4 +1,4 @@
-"""A model engine in real time: it prefills prompts in chunks, urgent ones first."""
+"""A real-time model engine that prefills prompts in chunks, by priority."""
 
 import heapq
 import itertools
@@ -26,7 +26,7 @@
 
 @dataclass(eq=False)
 class _PrefillJob:
-    """One request there: the segments that are not prefilled yet."""
+    """A prompt that waits for its prefill; `segments` gives tokens by segment."""
 
     pending_prefill_tokens: int
     segments: dict[bytes, int]
@@ -36,16 +36,16 @@
 
 @dataclass
 class Engine:
-    """One engine of `slots` places.
+    """One engine that runs up to `slots` requests at a time.
 
     Attributes
     ----------
     tokens_per_s : float
-        Prompt tokens prefilled per second.
+        Prefilled prompt tokens per second.
     event_s : float
-        Seconds between the events of a stream.
+        Seconds between events of a stream.
     cached : set
-        Segments in its prefix cache.
+        Prompt segments in its prefix cache.
     """
 
     id: str
@@ -134,7 +134,7 @@
 
 
 def _segments(request_headers: dict[bytes, bytes]) -> dict[bytes, int]:
-    """Return the tokens of a prompt's segments."""
+    """Return the token counts of a prompt by segment."""
     entries = request_headers[b"x-buckthornwall-prompt-prefix"].split(b",")
     pairs = (entry.partition(b":") for entry in entries)
     return {segment: int(tokens) for segment, _, tokens in pairs}
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/users_platform/fault_proxy.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/users_platform/fault_proxy.py
@@ -1,4 +1,4 @@
-"""A loopback proxy in front of one address, whose connections can be harmed."""
+"""A loopback proxy in front of one address that injects network faults."""
 
 import math
 import socket
@@ -10,19 +10,19 @@
 __all__ = ["FaultProxy", "ProxyFault"]
 
 READ_BYTES = 65536
-# Closing with this option set resets the connection (SO_LINGER, zero seconds).
+# SO_LINGER with a timeout of zero: closing the socket resets the connection.
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 
 
 class ProxyFault(Enum):
-    """How a path fails, until it is told otherwise."""
+    """Fault that a proxy injects until another one is set."""
 
     NONE = "none"
-    SLOW = "slow"  # all bytes come later
-    RESET = "reset"  # connections end at once, new ones too
-    SILENT = "silent"  # nothing passes, either way
-    BLOCKED_TO_TARGET = "no way there"  # nothing reaches the target
-    BLOCKED_FROM_TARGET = "no way back"  # nothing comes from the target
+    SLOW = "slow"  # all data is delayed
+    RESET = "reset"  # open and new connections are reset
+    SILENT = "silent"  # no data passes in either direction
+    BLOCKED_TO_TARGET = "no way there"  # no data reaches the target
+    BLOCKED_FROM_TARGET = "no way back"  # no data comes from the target
 
 
 BLOCKS_TO_TARGET = frozenset({ProxyFault.SILENT, ProxyFault.BLOCKED_TO_TARGET})
@@ -30,7 +30,7 @@
 
 
 class _Connection:
-    """One connection through the path; `is_stalled` ones stay silent for good."""
+    """One proxied connection; once `is_stalled`, it never passes data again."""
 
     def __init__(
         self, client_stream: trio.SocketStream, target_stream: trio.SocketStream
@@ -47,17 +47,17 @@
 
 
 class FaultProxy:
-    """Forwards connections to `target`.
+    """Forwards connections to `target`, subject to the current fault.
 
     Parameters
     ----------
     target
-        Where connections go, as ``IP:port``.
+        Address that connections are forwarded to, as ``IP:port``.
 
     Attributes
     ----------
     delay_s : float
-        By how much bytes come later while the path is slow.
+        Delay of each read while the fault is `SLOW`, in seconds.
     """
 
     def __init__(self, target: str) -> None:
@@ -68,7 +68,7 @@
         self._changed = trio.Event()
 
     def set_fault(self, fault: ProxyFault) -> None:
-        """Set the fault for all connections, those that are open included."""
+        """Set the fault of all connections, including open ones."""
         self.fault = fault
         if fault is ProxyFault.RESET:
             for connection in self._connections:
@@ -77,7 +77,7 @@
         self._changed = trio.Event()
 
     def stall_open_connections(self) -> None:
-        """Make what is open now silent for good; new connections work."""
+        """Stop passing data on open connections for good; new ones work."""
         for connection in self._connections:
             connection.is_stalled = True
 
@@ -132,7 +132,7 @@
                 await destination.send_all(data)
             await self._apply_fault(connection, blocking_faults)
         except (trio.BrokenResourceError, trio.ClosedResourceError):
-            pass  # either end is gone; the other one is closed with it
+            pass  # one side closed its connection; the other side is closed too
         connection.scope.cancel()
 
     async def _apply_fault(
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/users_platform/headers.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/users_platform/headers.py
@@ -1,4 +1,4 @@
-"""Headers that the stand-ins of callers and upstreams have in common."""
+"""Headers shared by the stand-ins of callers and upstreams."""
 
 __all__ = ["PREFIX", "make_request_headers", "make_response_headers"]
 
@@ -15,18 +15,18 @@
     prompt: tuple[str, str] | None,
     body: bytes = b"",
 ) -> Headers:
-    """Return the headers of a call.
+    """Return the headers of a request.
 
     Parameters
     ----------
     request, host, key
-        Its id, where it goes, and whose it is.
+        Request id, host name and API key.
     client_timeout_s
-        How long its caller waits, in seconds.
+        Time that the caller allows for the response, in seconds.
     prompt
-        Token counts and segments of a prompt, as they are sent; None without one.
+        Header values with the token counts and segments of a prompt, if any.
     body
-        What is sent after the headers.
+        Request body, for its length.
     """
     headers = [
         (b"Host", host.encode()),
@@ -45,7 +45,7 @@
 def make_response_headers(
     request: bytes, running: int, waiting: int, slots: int
 ) -> Headers:
-    """Return what every reply of an upstream bears: the call's id, and its load."""
+    """Return the headers of every upstream response: request id and load."""
     return [
         (PREFIX + b"Attempt-Id", request),
         (PREFIX + b"Engine-Load", b"%d,%d,%d" % (running, waiting, slots)),
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/users_platform/store.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/users_platform/store.py
@@ -1,4 +1,4 @@
-"""The platform's store: items, revisions, pages, watches, and its faults."""
+"""The platform's key-value store: revisions, paged reads, watches and faults."""
 
 import base64
 from dataclasses import dataclass, field
@@ -23,29 +23,29 @@
 
 
 class StoreFault(Enum):
-    """How the store fails, until it is told otherwise."""
+    """Fault that the store injects until another one is set."""
 
     NONE = "none"
     BUSY = "busy"  # every call gets 503
     TOO_MANY_REQUESTS = "many"  # every call gets 429
     SILENT = "silent"  # no call is answered
-    RESET = "reset"  # every call ends with its connection
+    RESET = "reset"  # every call's connection is closed
 
 
 @dataclass
 class Store:
-    """Keys, their revisions, and what changed.
+    """Items with their revisions, and recent changes.
 
     Attributes
     ----------
     page_size : int
-        Items in a page at most.
+        Maximum number of items in a page.
     max_events : int
-        Changes that are kept for watches.
+        Maximum number of changes kept for watches.
     delay_s : float
-        Added to each answer.
+        Delay added to each response, in seconds.
     faults : dict
-        Fault by the caller's IP number; '' holds for all.
+        Faults by the caller's IP address; '' applies to all other callers.
     """
 
     page_size: int = 500
@@ -59,11 +59,11 @@
     changed: trio.Event = field(default_factory=trio.Event)
 
     def put(self, key: str, value: dict[str, Any]) -> int:
-        """Write an item as JSON; return its revision."""
+        """Write an item encoded as JSON and return its revision."""
         return self.put_raw(key, msgspec.json.encode(value))
 
     def put_raw(self, key: str, raw: bytes) -> int:
-        """Write an item as it is; return its revision."""
+        """Write the bytes of an item and return its revision."""
         self.revision += 1
         self.items[key] = (raw, self.revision)
         self._record_event(_item(key, raw, self.revision))
@@ -76,7 +76,7 @@
         self._record_event({"key": key, "revision": self.revision, "removed": True})
 
     def drop_history(self) -> None:
-        """Drop what changed, so that watches must read everything again."""
+        """Drop all recorded changes, so that watchers must read everything again."""
         self.revision += 1
         self.events.clear()
         self._wake_watches()
@@ -105,7 +105,7 @@
         if fault is StoreFault.SILENT:
             await trio.sleep_forever()
         elif fault is StoreFault.RESET:
-            return  # an answer that never began closes its connection
+            return  # no response was begun, so the server closes the connection
         elif fault is not StoreFault.NONE:
             status = 503 if fault is StoreFault.BUSY else 429
             await response.send_complete(status, JSON, b"{}")
@@ -121,7 +121,7 @@
         await response.send_complete(status, JSON, msgspec.json.encode(body))
 
     def range(self, query: dict[str, str]) -> dict[str, Any]:
-        """Return a page of items, as the body of an answer."""
+        """Return a page of items as a response body."""
         prefix, after = query.get("path_prefix", ""), query.get("after", "")
         keys = sorted(
             key for key in self.items if key.startswith(prefix) and key > after
@@ -133,7 +133,7 @@
         }
 
     async def watch(self, query: dict[str, str]) -> tuple[int, dict[str, Any]]:
-        """Return status and body once something changed, or the wait is over."""
+        """Return status and body after a change or at the end of the wait."""
         after = int(query["after"])
         prefix = query.get("path_prefix", "")
         with trio.move_on_after(int(query["wait_ms"]) / 1000):
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/users_platform/upstream.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/users_platform/upstream.py
@@ -1,4 +1,4 @@
-"""An upstream that signs its answers, states what it did not run, and counts."""
+"""An upstream that seals its responses, marks shed requests and counts runs."""
 
 import itertools
 from collections import Counter
@@ -30,21 +30,21 @@
     Attributes
     ----------
     id : str
-        The instance that it is; calls that expect another get 421.
+        Its instance id; requests that expect another id get status 421.
     work_s : float
-        Seconds of a whole answer, or before the first event.
+        Seconds until the response, or until the first event of a stream.
     event_s : float
-        Seconds between events.
+        Seconds between events of a stream.
     is_shedding : bool
-        Whether it refuses, and says that it did not run.
+        Whether it refuses requests with 503 and marks them as not executed.
     runs, non_retryable_runs : Counter
-        Runs by request id: all, and those that may not be repeated.
+        Runs by request id: of all requests, and of those that may run only once.
     received_headers : list
-        Headers of each arrival, names in lower case.
+        Headers of each received request, names in lower case.
     rate_limit : str
-        The requests a second that it names in its answers, or ''.
+        Requests per second that it announces in its responses, or '' for none.
     on_arrival : callable
-        Is told of the id of each request that was not sent to another upstream.
+        Called with the id of each request, unless it expected another instance.
     """
 
     id: str
@@ -56,7 +56,7 @@
     non_retryable_runs: Counter = field(default_factory=Counter)
     received_headers: list[dict[bytes, bytes]] = field(default_factory=list)
     running: int = 0
-    cut_after_events: int = 0  # events after which a stream breaks off, 0 for never
+    cut_after_events: int = 0  # events before a stream is cut off; 0 for no cut
     rate_limit: str = ""
     on_arrival: Callable[[str], None] = lambda request: None
 
@@ -112,7 +112,7 @@
             itertools.count(), range(first, STREAM_EVENTS + 1), strict=False
         ):
             if self.cut_after_events and sent >= self.cut_after_events:
-                return  # an answer that is not ended breaks off
+                return  # without an end the response is cut off
             await response.send(b"id: %d\ndata: word-%d\n\n" % (number, number))
             await trio.sleep(self.event_s)
         await response.end()
