--- a/packages/buckthornwall-standins/src/buckthornwall_standins/tests/conftest.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/tests/conftest.py
@@ -9,7 +9,7 @@
 from buckthornwall_standins.deployments import MANIZALES
 
 POOL = "kit-assistant"
-TRIAL = replace(
+SMALL_DEPLOYMENT = replace(
     MANIZALES,
     nodes=4,
     pools={POOL: 4},
@@ -18,13 +18,13 @@
 
 
 @pytest.fixture
-def trial():
+def small_deployment():
     """Return a deployment of four instances before four engines."""
-    return TRIAL
+    return SMALL_DEPLOYMENT
 
 
 @pytest.fixture
-def load_of():
+def make_callers():
     """Return a function that makes callers for a fleet at a share of its capacity."""
 
     def make(fleet, seconds, share, orders=0.0, seed=1):
@@ -37,7 +37,7 @@
 
 
 @pytest.fixture
-def run_load():
+def run_callers():
     """Return a function that runs callers, and an action after `after_s` seconds."""
 
     async def run(callers, seconds, after_s, action):
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/tests/test_bad_input.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/tests/test_bad_input.py
@@ -164,8 +164,10 @@
 
 
 @pytest.mark.live
-async def test_a_peer_without_the_secret_or_with_broken_messages_is_refused(trial):
-    async with Fleet.running(trial) as fleet:
+async def test_a_peer_without_the_secret_or_with_broken_messages_is_refused(
+    small_deployment,
+):
+    async with Fleet.running(small_deployment) as fleet:
         node = fleet.nodes[0]
         async with connect(f"ws://{node.peers}", proxy=None) as socket_:
             challenge = decode_batch(await socket_.recv())[0]
@@ -187,8 +189,10 @@
 
 
 @pytest.mark.live
-async def test_slow_heads_and_oversize_heads_do_not_hold_others_up(trial, load_of):
-    async with Fleet.running(trial) as fleet:
+async def test_slow_heads_and_oversize_heads_do_not_hold_others_up(
+    small_deployment, make_callers
+):
+    async with Fleet.running(small_deployment) as fleet:
         node = fleet.nodes[0]
         address = node.callers.split(":")
         with (
@@ -197,7 +201,7 @@
         ):
             slow.sendall(b"POST /v1/chat/completions HTTP/1.1\r\nhost:")
             large.sendall(b"GET / HTTP/1.1\r\nx: " + b"y" * 40_000)
-            callers: Callers = load_of(fleet, 2.0, 0.3)
+            callers: Callers = make_callers(fleet, 2.0, 0.3)
             await callers.run(2.0)
             assert {o.verdict for o in callers.outcomes} == {Verdict.WHOLE}
             large.settimeout(5)
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/tests/test_live.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/tests/test_live.py
@@ -37,8 +37,8 @@
     return [each for each in callers.outcomes if each.arrival.load.tier == 0]
 
 
-async def test_the_openai_client_gets_whole_answers(trial):
-    async with Fleet.running(trial) as fleet:
+async def test_the_openai_client_gets_whole_answers(small_deployment):
+    async with Fleet.running(small_deployment) as fleet:
         node = fleet.nodes[0]
         client = openai.OpenAI(
             base_url=f"http://{node.callers}/v1", api_key=key_of("obra-norte")
@@ -67,24 +67,28 @@
         assert caught.value.body["code"] == 1005
 
 
-async def test_the_scheduler_is_killed_under_load(trial, load_of, run_load):
-    async with Fleet.running(trial) as fleet:
-        callers = load_of(fleet, SECONDS, 0.6, orders=4)
+async def test_the_scheduler_is_killed_under_load(
+    small_deployment, make_callers, run_callers
+):
+    async with Fleet.running(small_deployment) as fleet:
+        callers = make_callers(fleet, SECONDS, 0.6, orders=4)
         scheduler = await fleet.scheduler_of(POOL)
 
         async def kill():
             fleet.kill(scheduler)
 
-        await run_load(callers, SECONDS, DISTURB_AT_S, kill)
+        await run_callers(callers, SECONDS, DISTURB_AT_S, kill)
         report = await report_of(fleet, callers)
         assert all(report.checks().values()), report.table()
         others = [o for o in urgent_outcomes(callers) if o.node != scheduler.id]
         assert all(o.verdict is Verdict.WHOLE for o in others), report.table()
 
 
-async def test_the_scheduler_is_frozen_and_wakes_under_load(trial, load_of, run_load):
-    async with Fleet.running(trial) as fleet:
-        callers = load_of(fleet, SECONDS, 0.6, orders=4)
+async def test_the_scheduler_is_frozen_and_wakes_under_load(
+    small_deployment, make_callers, run_callers
+):
+    async with Fleet.running(small_deployment) as fleet:
+        callers = make_callers(fleet, SECONDS, 0.6, orders=4)
         scheduler = await fleet.scheduler_of(POOL)
 
         async def freeze():
@@ -92,7 +96,7 @@
             await trio.sleep(FREEZE_S)
             fleet.thaw(scheduler)
 
-        await run_load(callers, SECONDS, DISTURB_AT_S, freeze)
+        await run_callers(callers, SECONDS, DISTURB_AT_S, freeze)
         report = await report_of(fleet, callers)
         assert all(report.checks().values()), report.table()
         others = [o for o in urgent_outcomes(callers) if o.node != scheduler.id]
@@ -102,16 +106,18 @@
         assert status["state"] == "ready"
 
 
-async def test_the_scheduler_stops_as_planned_under_load(trial, load_of, run_load):
-    async with Fleet.running(trial) as fleet:
-        callers = load_of(fleet, SECONDS, 0.6, orders=4)
+async def test_the_scheduler_stops_as_planned_under_load(
+    small_deployment, make_callers, run_callers
+):
+    async with Fleet.running(small_deployment) as fleet:
+        callers = make_callers(fleet, SECONDS, 0.6, orders=4)
         scheduler = await fleet.scheduler_of(POOL)
         statuses = []
 
         async def stop():
             statuses.append(await fleet.stop(scheduler))
 
-        await run_load(callers, SECONDS, DISTURB_AT_S, stop)
+        await run_callers(callers, SECONDS, DISTURB_AT_S, stop)
         report = await report_of(fleet, callers)
         assert statuses == [0]
         assert all(report.checks().values()), report.table()
@@ -119,8 +125,8 @@
         assert all(order.status == 200 for order in callers.orders)
 
 
-async def test_records_reach_all_though_the_platform_answers_one(trial):
-    six = replace(trial, nodes=6)
+async def test_records_reach_all_though_the_platform_answers_one(small_deployment):
+    six = replace(small_deployment, nodes=6)
     async with Fleet.running(six, platform_answers=1) as fleet:
         started = trio.current_time()
         fleet.number = 2
@@ -143,10 +149,10 @@
 
 
 async def test_an_upstream_that_leaves_is_soon_asked_for_nothing(
-    trial, load_of, run_load
+    small_deployment, make_callers, run_callers
 ):
-    async with Fleet.running(trial) as fleet:
-        callers = load_of(fleet, SECONDS, 0.9)
+    async with Fleet.running(small_deployment) as fleet:
+        callers = make_callers(fleet, SECONDS, 0.9)
         leaving = fleet.engines()[0]
         starts = []
 
@@ -155,7 +161,7 @@
             await trio.sleep(3.0)
             starts.append((await fleet.read(leaving.address, "/counts"))["starts"])
 
-        await run_load(callers, SECONDS, 2.0, leave)
+        await run_callers(callers, SECONDS, 2.0, leave)
         counts = await fleet.read(leaving.address, "/counts")
         assert counts["starts"] == starts[0]
         late_arrivals = [o for o in callers.outcomes if o.arrival.at > 5.0]
@@ -181,9 +187,11 @@
                 await trio.sleep(0.05)
 
 
-async def test_no_engine_is_moved_back_by_an_instance_that_after_freeze(trial):
+async def test_no_engine_is_moved_back_by_an_instance_that_after_freeze(
+    small_deployment,
+):
     ignoring = frozenset({f"{POOL}-1", f"{POOL}-2"})
-    async with Fleet.running(trial, ignoring_fencing=ignoring) as fleet:
+    async with Fleet.running(small_deployment, ignoring_fencing=ignoring) as fleet:
         await fleet.publish(with_order(fleet, 2, "v1"))
         await adapters_are(fleet, "v1")
         for frozen in fleet.nodes[:2]:
@@ -200,8 +208,8 @@
             assert counts["adapters"] == {"kit": "v2"}
 
 
-async def test_the_operators_commands_read_a_fleet(trial, tmp_path):
-    async with Fleet.running(trial) as fleet:
+async def test_the_operators_commands_read_a_fleet(small_deployment, tmp_path):
+    async with Fleet.running(small_deployment) as fleet:
         addresses = [node.operators for node in fleet.nodes]
 
         async def ctl(*arguments):
