--- a/packages/buckthornwall-standins/src/buckthornwall_standins/peers_sim/soak.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/peers_sim/soak.py
@@ -19,7 +19,7 @@
 from .peer import LAG_SAMPLE_INTERVAL_S, SimPeer
 from .simulation import PeersSimulation
 
-__all__ = ["PeersSoak", "SoakVerdict", "main", "play_seed"]
+__all__ = ["PeersSoak", "SoakVerdict", "main", "run_seed"]
 
 # Instances by zone: a single one, a pair, and zones in which some wait for others
 # before they follow a speaker.
@@ -100,7 +100,7 @@
     # Faults
 
     def _sample_peer(self) -> SimPeer:
-        """Sample an instance, a speaker as often as a member."""
+        """Sample an instance, a speaker as often as one that is not."""
         is_speaker = self.rng.random() < 0.5
         peers = [
             peer for peer in self.fleet.peers.values() if peer.is_speaker == is_speaker
@@ -207,7 +207,7 @@
     )
 
 
-def play_seed(seed: int, seconds: float) -> SoakVerdict:
+def run_seed(seed: int, seconds: float) -> SoakVerdict:
     """Run one seed; print the events before the first violation, if any."""
     soak = PeersSoak(seed, seconds)
     verdict = trio.run(soak.run, clock=MockClock(autojump_threshold=0))
@@ -226,7 +226,7 @@
     logger.remove()
     failed = 0
     for seed in range(options.first, options.first + options.seeds):
-        verdict = play_seed(seed, options.seconds)
+        verdict = run_seed(seed, options.seconds)
         failed += bool(verdict.violations)
         state = verdict.violations[0] if verdict.violations else "kept"
         print(f"seed {seed}: furthest {verdict.max_lag_s:.2f} s: {state}", flush=True)
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/pool_sim/large.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/pool_sim/large.py
@@ -143,10 +143,10 @@
     options = make_parser(__doc__, ENGINES, INSTANCES, [0.2, 0.9]).parse_args()
     load, sizes = LargeLoad(options.times), (options.engines, options.instances)
 
-    def play(staleness_s: float, seed: int) -> PoolSimulation:
+    def simulate(staleness_s: float, seed: int) -> PoolSimulation:
         return simulate_large(load, staleness_s, seed, SECONDS, *sizes)
 
-    print_results(options, play, describe)
+    print_results(options, simulate, describe)
     return 0
 
 
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/pool_sim/report.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/pool_sim/report.py
@@ -26,7 +26,7 @@
 
 def print_results(
     options: argparse.Namespace,
-    play: Callable[[float, int], PoolSimulation],
+    simulate: Callable[[float, int], PoolSimulation],
     describe: Callable[[PoolSimulation], str],
 ) -> None:
     """Print one line for each age of reports and seed.
@@ -35,7 +35,7 @@
     ----------
     options
         Options parsed by the parser of `make_parser`.
-    play
+    simulate
         Runs the load, given the age of peers' reports in seconds and a seed.
     describe
         Returns the figures of a simulation.
@@ -43,7 +43,7 @@
     logger.remove()
     for staleness_s in options.word_age:
         for seed in options.seeds:
-            simulation = play(staleness_s, seed)
+            simulation = simulate(staleness_s, seed)
             print(f"staleness_s={staleness_s} seed={seed} {describe(simulation)}")
 
 
@@ -63,5 +63,5 @@
         refused = sum(each.refused for each in requests) / len(requests)
         failed = sum(each.failed for each in requests) / len(requests)
         pairs.append(f"{name}={credit:.3f} refused={refused:.2f} failed={failed:.2f}")
-    read = sum(engine.prefilled_tokens for engine in simulation.engines.values())
-    return [*pairs, f"read_m={read / 1e6:.1f}"]
+    prefilled = sum(engine.prefilled_tokens for engine in simulation.engines.values())
+    return [*pairs, f"read_m={prefilled / 1e6:.1f}"]
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/pool_sim/short_answers.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/pool_sim/short_answers.py
@@ -168,10 +168,10 @@
     options = make_parser(__doc__, ENGINES, INSTANCES, [0.3]).parse_args()
     sizes = (options.times, options.engines, options.instances)
 
-    def play(staleness_s: float, seed: int) -> PoolSimulation:
+    def simulate(staleness_s: float, seed: int) -> PoolSimulation:
         return simulate_short_answers(staleness_s, seed, *sizes)
 
-    print_results(options, play, describe)
+    print_results(options, simulate, describe)
     return 0
 
 
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/tests/test_peers_soak.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/tests/test_peers_soak.py
@@ -8,11 +8,11 @@
 
 import pytest
 
-from buckthornwall_standins.peers_sim.soak import play_seed
+from buckthornwall_standins.peers_sim.soak import run_seed
 
 
 @pytest.mark.parametrize("seed", [2, 12, 48])
 def test_instances_without_faults_do_not_lag_behind_store(seed):
-    verdict = play_seed(seed, seconds=40.0)
+    verdict = run_seed(seed, seconds=40.0)
     assert verdict.violations == []
     assert verdict.max_lag_s > 0
