--- a/packages/buckthornwall-standins/src/buckthornwall_standins/crash_soak.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/crash_soak.py
@@ -1,9 +1,8 @@
-"""A request that crashes engines, sent again and again to real instances.
+"""Soak of requests that crash engines, resent to real instances.
 
-The instances are processes of their own; the store and the engines are stand-ins in
-this process. An engine that ended is started again under another id at the same
-address. Other requests run beside it, and some runs kill and start the instances in
-turn.
+The instances are separate processes; the store and the engines are stand-ins in this
+process. A crashed engine is restarted under another id at the same address. Other
+requests run at the same time, and some runs kill and restart the instances in turn.
 """
 
 import itertools
@@ -21,14 +20,18 @@
 
 __all__ = ["CrashSoak", "SendLimits", "SentRequest", "find_late_arrivals", "main"]
 
-# When the registration of an engine that ended is removed, and when it is back.
+# Times after a crash of the removal of the registration and of the restart.
 DEREGISTER_DELAY_S = 1.5
 DOWNTIME_S = 2.0
 
 
 @dataclass(frozen=True)
 class SendLimits:
-    """How many sends of a request may reach engines after it crashed some of them."""
+    """How often a request may still reach engines after it crashed several.
+
+    Sends count from `grace_s` after the crash number `crash_threshold` on, and at most
+    `max_arrivals` of them may reach an engine.
+    """
 
     crash_threshold: int = 3
     grace_s: float = 3.0
@@ -37,7 +40,7 @@
 
 @dataclass(frozen=True)
 class SentRequest:
-    """One sending of a request that crashes engines; `at` in seconds."""
+    """A request as sent to an instance; `sent_at` in seconds."""
 
     body: bytes
     instance: int
@@ -46,7 +49,7 @@
 
 @dataclass(frozen=True)
 class Arrival:
-    """A sending that reached an engine."""
+    """A sent request that reached an engine; `arrived_at` in seconds."""
 
     request: SentRequest
     arrived_at: float
@@ -58,19 +61,19 @@
     restart_events: list[tuple[float, int]],
     limits: SendLimits,
 ) -> list[Arrival]:
-    """Return the arrivals that count against `limits`.
+    """Return the arrivals of requests that were sent too late after crashes.
 
     Parameters
     ----------
     arrivals
-        All that reached engines.
+        Requests that reached engines.
     crashes
-        When an engine ended, and by which body.
+        Times of crashes, and bodies of the requests that caused them.
     restart_events
-        When which instance was killed or started; its sends count again only
-        `grace_s` later.
+        Times when instances were killed or restarted, and their numbers; sends of an
+        instance do not count until `grace_s` later.
     limits
-        What is allowed.
+        Number of crashes and grace period after which sends count.
     """
     late = []
     for body in {body for _, body in crashes}:
@@ -93,14 +96,14 @@
 
 
 class CrashSoak(SoakRun):
-    """One run; see `SoakRun` for what is not named here.
+    """One run; see `SoakRun` for the other parameters.
 
     Parameters
     ----------
     engines
-        How many there are.
+        Number of engines.
     crashing
-        How many different requests crash engines.
+        Number of different requests that crash engines.
     """
 
     def __init__(
@@ -140,7 +143,7 @@
     async def _run_engine(
         self, address: str, *, task_status=trio.TASK_STATUS_IGNORED
     ) -> None:
-        """Run incarnations of one engine, each under an id of its own."""
+        """Run one engine, restarting it under a new id after each crash."""
         while True:
             engine = CrashingEngine(
                 f"e{next(self.numbers)}", event_s=0.05, on_arrival=self._record_arrival
@@ -161,7 +164,7 @@
             self.arrivals.append(Arrival(request, trio.current_time()))
 
     async def generate_load(self, callers: trio.Nursery) -> None:
-        """Let callers come, some with a request that crashes engines."""
+        """Generate ordinary requests and the requests that crash engines."""
         for body in self.crash_bodies:
             callers.start_soon(self._resend, body, callers)
         for path, per_s in (("once", 10.0), ("draft", 10.0), ("look", 5.0)):
@@ -192,23 +195,23 @@
         self.statuses[kind, await self.exchange(number, path, headers, body)] += 1
 
     def describe(self) -> str:
-        """Return how many engines ended, and how often requests reached them."""
-        return f"{len(self.crashes)} ends, {len(self.arrivals)} arrivals"
+        """Return the numbers of crashes and of arrivals of the crashing requests."""
+        return f"{len(self.crashes)} crashes, {len(self.arrivals)} arrivals"
 
 
 def find_violations(soak: CrashSoak) -> list[str]:
-    """Return each request that reached engines too often after it crashed some."""
+    """Return a line for each request that reached engines too often."""
     limits = SendLimits()
     late_counts = Counter(each.request.body for each in soak.late_arrivals(limits))
     return [
-        f"{body!r} reached engines {count} times late"
+        f"{body!r} reached engines {count} times after the grace period"
         for body, count in late_counts.items()
         if count > limits.max_arrivals
     ]
 
 
 def main(arguments: list[str] | None = None) -> int:
-    """Play seeds one after the other; return 1 if any breaks the limits."""
+    """Run seeds one after the other; return 1 if any exceeds the limits."""
     parser = make_parser(__doc__, 20.0, 7700)
     parser.add_argument("--engines", type=int, default=9)
     parser.add_argument("--crashing", type=int, default=1)
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/limit_soak.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/limit_soak.py
@@ -1,8 +1,8 @@
-"""Upstreams that take few requests a second, before real instances.
+"""Soak of real instances with upstreams that limit their requests per second.
 
-The instances are processes of their own; the store and the upstreams are stand-ins in
-this process. Some upstreams name a limit from a while after the start on. Some runs
-kill and start the instances in turn.
+The instances are separate processes; the store and the upstreams are stand-ins in this
+process. Some upstreams announce a rate limit a while after the start. Some runs kill
+and restart the instances in turn.
 """
 
 import sys
@@ -16,13 +16,16 @@
 
 __all__ = ["RateAllowance", "LimitSoak", "main", "max_in_window"]
 
-# When limits are named, after the first caller.
+# Time from the first request until limits are announced.
 LIMIT_DELAY_S = 3.0
 
 
 @dataclass(frozen=True)
 class RateAllowance:
-    """What may reach an upstream that names a limit, over any window."""
+    """Number of requests allowed at a rate-limited upstream in any window.
+
+    Requests count from `grace_s` after the limit was announced.
+    """
 
     grace_s: float = 3.0
     window_s: float = 4.0
@@ -30,12 +33,12 @@
     extra_requests: float = 5.0
 
     def max_requests(self, per_s: float) -> float:
-        """Return how many requests are allowed in a window."""
+        """Return the number of requests allowed in a window."""
         return self.factor * per_s * self.window_s + self.extra_requests
 
 
 def max_in_window(times: list[float], window_s: float) -> int:
-    """Return the most of some sorted times that lie in one window."""
+    """Return the largest number of the sorted times within one window."""
     peak, first = 0, 0
     for index, at in enumerate(times):
         while at - times[first] > window_s:
@@ -45,14 +48,14 @@
 
 
 class LimitSoak(SoakRun):
-    """One run; see `SoakRun` for what is not named here.
+    """One run; see `SoakRun` for the other parameters.
 
     Parameters
     ----------
     engines
-        How many there are.
+        Number of engines.
     limited, per_s
-        How many engines name a limit, and which.
+        Number of engines that announce a limit, and the limit.
     """
 
     def __init__(
@@ -71,9 +74,9 @@
         self.limited_since = 0.0
 
     def peak_requests(self, allowance: RateAllowance) -> dict[str, int]:
-        """Return the most requests in a window at each upstream that names a limit.
+        """Return the peak number of requests in a window at each limited upstream.
 
-        An instance that was killed or started does not count for `grace_s`.
+        Requests of an instance do not count for `grace_s` after its kill or restart.
         """
         peaks = {}
         for upstream in self._limited_upstreams():
@@ -117,7 +120,7 @@
         return count
 
     async def generate_load(self, callers: trio.Nursery) -> None:
-        """Let callers come, and upstreams name their limits a while later."""
+        """Generate requests, and make upstreams announce their limits later."""
         for path, per_s in (("once", 15.0), ("draft", 10.0), ("look", 15.0)):
             callers.start_soon(
                 self.call_repeatedly, path, per_s, callers, path != "look"
@@ -128,7 +131,7 @@
             upstream.rate_limit = f"{self.per_s:g}"
 
     def describe(self) -> str:
-        """Return the most requests in a window at each limited upstream."""
+        """Return the peak numbers of requests and the allowed number."""
         allowance = RateAllowance()
         return (
             f"{self.peak_requests(allowance)} of {allowance.max_requests(self.per_s)}"
@@ -136,15 +139,17 @@
 
 
 def find_violations(soak: LimitSoak) -> list[str]:
-    """Return each upstream that got more than is allowed."""
+    """Return a line for each upstream that received more than is allowed."""
     allowance = RateAllowance()
     allowed = allowance.max_requests(soak.per_s)
     peaks = soak.peak_requests(allowance)
-    return [f"{name} got {count}" for name, count in peaks.items() if count > allowed]
+    return [
+        f"{name} received {count}" for name, count in peaks.items() if count > allowed
+    ]
 
 
 def main(arguments: list[str] | None = None) -> int:
-    """Play seeds one after the other; return 1 if any is over what is allowed."""
+    """Run seeds one after the other; return 1 if any exceeds the allowance."""
     parser = make_parser(__doc__, 20.0, 8000)
     parser.add_argument("--engines", type=int, default=9)
     parser.add_argument("--limited", type=int, default=3)
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/soak.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/soak.py
@@ -1,12 +1,13 @@
-"""A randomized fault soak: real instances as processes, faults drawn by a seed.
+"""A randomized fault soak: real instances as processes, faults sampled by a seed.
 
 The store and the upstreams are stand-ins inside this process; the instances are
-processes of their own on loopback addresses. Faults come in series and overlap:
-instances are killed, stopped as planned, paused and started again; the store is
-down, silent, slow, forgetful; upstreams shed, break off and hang; the paths to both
-are slow, reset, cut one way or both, or lose what is open; the configuration
-changes. What callers and upstreams see is checked against the promises. A seed
-repeats the draw, not the timing. No clock of day is used, so none is stepped.
+separate processes on loopback addresses. Faults follow one another and overlap:
+instances are killed, stopped gracefully, paused and restarted; the store is down,
+unresponsive or slow, or loses its history; upstreams shed requests, cut streams off
+and hang; proxies in front of both delay data, reset connections, block one or both
+directions, or stall open connections; the configuration changes. What callers and
+upstreams observe is checked against the guarantees. The same seed repeats the sampled
+faults and calls, not their timing. No wall-clock time is used, so no fault steps it.
 """
 
 import argparse
@@ -38,26 +39,26 @@
 RECOVERY_S = 6.0
 FINAL_CALLS = 20
 MAX_FAILED_FINAL_CALLS = 2
-# A change has to be in force everywhere this long after it was acknowledged.
+# Time within which an acknowledged change has to be in force at every instance.
 CONFIG_ADOPTION_LIMIT_S = 2.0
 LOG_TAIL_BYTES = 4000
 
 
 class Soak:
-    """One run.
+    """One run of a fault soak.
 
     Parameters
     ----------
     seed
-        Draws faults and calls.
+        Seed of the generator that samples faults and calls.
     seconds
-        How long faults come.
+        How long faults are injected, in seconds.
     ports
-        First of five ports that all instances share.
+        First of five consecutive ports, the same for all instances.
     directory
-        Where settings and logs go.
+        Directory of the settings and log files.
     instance_count
-        Instances, in two zones.
+        Number of instances, in two zones.
     """
 
     def __init__(
@@ -80,7 +81,7 @@
         self.callers = SoakCallers(self.rng, ports)
 
     async def run(self) -> SoakResult:
-        """Play the faults, let all recover, and return the verdict."""
+        """Inject faults, wait for recovery, and return the result of the checks."""
         async with trio.open_nursery() as nursery:
             await self._start(nursery)
             try:
@@ -162,7 +163,7 @@
     async def _restart(self, number: int, stop_signal: signal.Signals) -> None:
         process = self.instances.processes[number]
         if process.poll() is not None:
-            return  # another fault has it already
+            return  # another fault has already stopped it
         expected_returncodes = {0, -signal.SIGKILL}
         if not self.instances.has_logged_start(number):
             expected_returncodes.add(-signal.SIGTERM)
@@ -174,7 +175,7 @@
             and process.returncode not in expected_returncodes
         ):
             self.callers.result.violations.append(
-                f"stop ended with {process.returncode}"
+                f"graceful stop exited with {process.returncode}"
             )
         if self.instances.processes[number] is process:
             self.instances.start(number)
@@ -266,7 +267,7 @@
         await self.instances.wait_until_ready()
 
     async def _check_recovered(self) -> None:
-        """After the last fault nearly every call must be served again."""
+        """Check that nearly every call is served again after the last fault."""
         config_number = self.deployment.publish()
         await self._check_config_adopted(config_number)
         served = 0
@@ -274,13 +275,13 @@
             served += await self.callers.call(call % self.instance_count + 1)
         if served < FINAL_CALLS - MAX_FAILED_FINAL_CALLS:
             text = (
-                f"{served} of {FINAL_CALLS} served after the end, "
-                f"number {config_number}"
+                f"{served} of {FINAL_CALLS} calls served after recovery, "
+                f"configuration {config_number}"
             )
             self.callers.result.violations.append(text)
 
     async def _check_config_adopted(self, config_number: int) -> None:
-        """Every instance must soon have the newest version."""
+        """Check that every instance soon has the newest configuration."""
         pending: set[int] = set(self.instances.processes)
         with trio.move_on_after(CONFIG_ADOPTION_LIMIT_S):
             while pending:
@@ -290,7 +291,7 @@
                 await trio.sleep(0.05)
         for instance in sorted(pending):
             text = (
-                f"instance {instance} has no version {config_number} "
+                f"instance {instance} has not adopted configuration {config_number} "
                 f"after {CONFIG_ADOPTION_LIMIT_S} s"
             )
             self.callers.result.violations.append(text)
@@ -299,7 +300,7 @@
 def run_seed(
     seed: int, seconds: float, ports: int, instance_count: int = INSTANCES
 ) -> SoakResult:
-    """Play one seed; show the instances' last lines if it broke a promise."""
+    """Run one seed; print the tails of the logs if it violated a guarantee."""
     with tempfile.TemporaryDirectory(prefix="soak-") as name:
         directory = Path(name)
         result = trio.run(Soak(seed, seconds, ports, directory, instance_count).run)
@@ -312,16 +313,16 @@
 
 
 def main(arguments: list[str] | None = None) -> int:
-    """Play seeds one after the other; return 1 if any broke a promise."""
+    """Run seeds one after the other; return 1 if any violated a guarantee."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
-    parser.add_argument("--seeds", type=int, default=1, help="how many to play")
+    parser.add_argument("--seeds", type=int, default=1, help="number of seeds to run")
     parser.add_argument("--first", type=int, default=1, help="the first seed")
     parser.add_argument("--seconds", type=float, default=8.0)
     parser.add_argument(
         "--instances",
         type=int,
         default=INSTANCES,
-        help="odd and even ones make two zones; with six, some must wait their turn",
+        help="odd and even numbers form two zones; with six, some wait their turn",
     )
     parser.add_argument("--ports", type=int, default=7700)
     options = parser.parse_args(arguments)
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/soak_callers.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/soak_callers.py
@@ -1,4 +1,4 @@
-"""The callers of a soak: what they ask, and whether promises to them are kept."""
+"""The callers of a soak: their requests, and checks of the guarantees to them."""
 
 import random
 from collections.abc import Iterable
@@ -14,6 +14,7 @@
 
 __all__ = ["SoakCallers", "SoakResult"]
 
+# With these statuses an instance states that the request was not executed.
 NOT_EXECUTED_STATUSES = frozenset({408, 421, 429, 503})
 CLIENT_TIMEOUT_S = 3.0
 EXPECTED_STREAM = b"".join(
@@ -23,7 +24,7 @@
 
 @dataclass
 class SoakResult:
-    """What was seen; `violations` names each promise that was not kept."""
+    """Counts of calls, and a line in `violations` for each violated guarantee."""
 
     calls: int = 0
     served: int = 0
@@ -32,14 +33,14 @@
 
 
 class SoakCallers:
-    """Makes calls and holds their answers against the promises.
+    """Makes calls and checks their responses against the guarantees.
 
     Parameters
     ----------
     rng
-        Chooses the calls; shared with the faults.
+        Samples the calls; shared with the faults.
     ports
-        First of five ports that all instances share.
+        First of five consecutive ports, the same for all instances.
     """
 
     def __init__(self, rng: random.Random, ports: int) -> None:
@@ -50,7 +51,7 @@
         self._call_count = 0
 
     async def call(self, number: int) -> bool:
-        """Make one call, check its answer, and tell whether it was served."""
+        """Make one call, check its response, and return whether it was served."""
         self._call_count += 1
         request = f"r{self._call_count}"
         path = self.rng.choice(["/draft/x", "/once/x", "/order/x", "/look/x"])
@@ -62,7 +63,7 @@
                     number, path, request, is_stream
                 )
         except (ExchangeError, trio.TooSlowError):
-            return False  # a connection that ends promises nothing
+            return False  # a lost connection says nothing about the execution
         if status in NOT_EXECUTED_STATUSES:
             self.result.refused += 1
             self.refused_requests.add(request)
@@ -93,13 +94,15 @@
         return head.status, dict(head.headers), body
 
     def check_runs(self, upstreams: Iterable[Upstream]) -> None:
-        """Hold what upstreams ran against what callers were told."""
+        """Check the executions at upstreams against the responses to callers."""
         once: dict[str, int] = {}
         for upstream in upstreams:
             for request, count in upstream.non_retryable_runs.items():
                 once[request] = once.get(request, 0) + count
         for request, count in once.items():
             if count > 1:
-                self.result.violations.append(f"{request} ran {count} times")
+                self.result.violations.append(f"{request} was executed {count} times")
             if request in self.refused_requests:
-                self.result.violations.append(f"{request} ran though said not to")
+                self.result.violations.append(
+                    f"{request} was executed although it was refused"
+                )
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/soak_instances.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/soak_instances.py
@@ -1,4 +1,4 @@
-"""The instances of a soak: real processes, started, watched and ended by id."""
+"""The instances of a soak: real processes, started, probed and killed."""
 
 import json
 import subprocess
@@ -17,14 +17,14 @@
 
 
 class SoakInstances:
-    """Instances by number.
+    """Processes of instances, by number.
 
     Parameters
     ----------
     ports
-        First of five ports that all share.
+        First of five consecutive ports, the same for all instances.
     directory
-        Where settings and logs go.
+        Directory of the settings and log files.
     """
 
     def __init__(self, ports: int, directory: Path) -> None:
@@ -34,7 +34,7 @@
         self.start_counts: dict[int, int] = {}
 
     def start(self, number: int) -> None:
-        """Start an instance, for the first time or again."""
+        """Start or restart an instance."""
         path = self.directory / f"node-{number}.ini"
         path.write_text(format_settings(number, [1, 2], self.ports))
         command = [sys.executable, "-m", "buckthornwall.start"]
@@ -44,13 +44,13 @@
             self.processes[number] = subprocess.Popen(command, stdout=log, stderr=log)
 
     def log_path(self, number: int) -> Path:
-        """Return where an instance writes its lines."""
+        """Return the log file of an instance."""
         return self.directory / f"node-{number}.log"
 
     def has_logged_start(self, number: int) -> bool:
-        """Tell whether the instance's last process has said that it starts.
+        """Return whether the newest process of an instance has logged its start.
 
-        Until then its interpreter is being loaded, and signals end it.
+        Until then its interpreter is still loading, and signals terminate it.
         """
         return (
             self.log_path(number).read_bytes().count(START_EVENT)
@@ -58,13 +58,13 @@
         )
 
     def kill_all(self) -> None:
-        """Kill all that were started."""
+        """Kill all processes."""
         for process in self.processes.values():
             process.kill()
             process.wait()
 
     async def wait_until_ready(self) -> None:
-        """Wait until all say that they are ready."""
+        """Wait until all instances report that they are ready."""
         with trio.fail_after(READY_TIMEOUT_S):
             for number in self.processes:
                 while not await self._is_ready(number):
@@ -75,12 +75,12 @@
         return status == 200
 
     async def config_number(self, number: int) -> int:
-        """Return the configuration's number in force at an instance; 0 if unknown."""
+        """Return the number of the configuration in force, or 0 if unknown."""
         status, body = await self._get(f"127.0.8.{number}:{self.ports + 3}", b"/status")
         return json.loads(body)["number"] if status == 200 else 0
 
     async def _get(self, address: str, path: bytes) -> tuple[int, bytes]:
-        """Return status and body; status 0 where no answer comes within a second."""
+        """Return status and body, or status 0 without a response within a second."""
         body = b""
         try:
             with trio.fail_after(1.0):
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/soak_run.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/soak_run.py
@@ -1,4 +1,4 @@
-"""What soaks with a load of their own have in common: instances, callers, restarts."""
+"""Common parts of soaks with their own load: instances, callers, restarts."""
 
 import argparse
 import itertools
@@ -20,24 +20,22 @@
 __all__ = ["CLIENT_TIMEOUT_S", "RunSettings", "SoakRun", "run_seeds", "make_parser"]
 
 SETTLE_S = 3.0
-# How long callers wait.
 CLIENT_TIMEOUT_S = 3.0
-# Each instance in turn is killed, and started a moment later.
+# Instances are killed in turn, each restarted after the pause.
 RESTART_INTERVAL_S = 1.5
 RESTART_PAUSE_S = 0.5
-
-
-# Different shared segments of prompts, so that all engines have work.
+# Number of different shared prompt segments, enough to give all engines work.
 PROMPT_PREFIXES = 24
 
 
 @dataclass(frozen=True)
 class RunSettings:
-    """What all soaks are told.
+    """Settings common to all soaks.
 
-    `seed` draws who is asked, and when; callers come for `seconds`. `ports` is the
-    first of five that all instances share, and `directory` where settings and logs go.
-    With `restarts` instances are killed and started in turn.
+    `seed` samples the instances that requests go to, and the times of requests; the
+    load lasts `seconds`. `ports` is the first of five consecutive ports, the same for
+    all instances, and `directory` holds settings and logs. With `restarts`, instances
+    are killed and restarted in turn.
     """
 
     seed: int
@@ -50,26 +48,26 @@
 
 @dataclass(frozen=True)
 class RequestTarget:
-    """The path of a request, and the instance that it was sent to."""
+    """Path of a request and number of the instance it was sent to."""
 
     path: str
     instance: int
 
 
 class SoakRun:
-    """One run of real instances before stand-ins.
+    """One run of real instances in front of stand-ins.
 
     Parameters
     ----------
     settings
-        What all soaks are told.
+        Settings common to all soaks.
 
     Attributes
     ----------
     targets : dict
-        Where a request was sent to, by its id.
+        Targets by request id.
     restart_events : list of tuple
-        When which instance was killed or started.
+        Times and numbers of instances that were killed or restarted.
     """
 
     def __init__(self, settings: RunSettings) -> None:
@@ -87,7 +85,7 @@
         self.numbers = itertools.count(1)
 
     async def run(self) -> None:
-        """Start all, play the load, and end the instances."""
+        """Start everything, run the load, and kill the instances."""
         async with trio.open_nursery() as nursery:
             await nursery.start(self.store.run, f"127.0.9.1:{self.ports + 4}")
             await self.start_upstreams(nursery)
@@ -106,15 +104,15 @@
         raise NotImplementedError
 
     async def generate_load(self, callers: trio.Nursery) -> None:
-        """Let callers come."""
+        """Generate the load until cancelled."""
         raise NotImplementedError
 
     def describe(self) -> str:
-        """Return what a run came to, in a line."""
+        """Return a one-line summary of the run."""
         raise NotImplementedError
 
     async def run_load(self) -> None:
-        """Let callers come for their time, and restart instances if asked to."""
+        """Run the load for its duration, with restarts of instances if set."""
         with trio.move_on_after(self.seconds):
             async with trio.open_nursery() as callers:
                 if self.restarts:
@@ -122,7 +120,7 @@
                 await self.generate_load(callers)
 
     def has_restarted(self, instance: int, at: float, within_s: float) -> bool:
-        """Tell whether an instance was killed or started shortly before a time."""
+        """Return whether an instance was killed or restarted shortly before `at`."""
         return any(
             number == instance and 0 <= at - event_at <= within_s
             for event_at, number in self.restart_events
@@ -141,13 +139,13 @@
     async def call_repeatedly(
         self, path: str, per_s: float, callers: trio.Nursery, has_prompt: bool = True
     ) -> None:
-        """Let callers come, so many a second on average."""
+        """Make calls at random intervals, `per_s` a second on average."""
         while True:
             callers.start_soon(self.call, path, has_prompt)
             await trio.sleep(self.rng.expovariate(per_s))
 
     async def call(self, path: str, has_prompt: bool) -> None:
-        """Ask a drawn instance once."""
+        """Make one call to a sampled instance."""
         request = f"r{next(self.numbers)}"
         number = self.rng.randint(1, self.instance_count)
         self.targets[request] = RequestTarget(path, number)
@@ -163,7 +161,7 @@
         headers: list[tuple[bytes, bytes]],
         body: bytes = b"",
     ) -> str:
-        """Ask an instance once; return the status, or how the exchange failed."""
+        """Call an instance; return the status, the failure, or "left" on a timeout."""
         connection = None
         with trio.move_on_after(CLIENT_TIMEOUT_S):
             try:
@@ -185,7 +183,7 @@
 def make_parser(
     description: str, seconds: float, ports: int, can_restart: bool = True
 ) -> argparse.ArgumentParser:
-    """Return a parser of what all soaks are told."""
+    """Return a parser of the options common to all soaks."""
     parser = argparse.ArgumentParser(description=description.splitlines()[0])
     parser.add_argument("--seeds", type=int, nargs="+", default=[1])
     parser.add_argument("--seconds", type=float, default=seconds)
@@ -203,16 +201,16 @@
     make_soak: Callable[[RunSettings], SoakRun],
     find_violations: Callable[[SoakRun], list[str]],
 ) -> int:
-    """Play seeds one after the other and print verdicts; return 1 if any broke.
+    """Run seeds one after the other and print results; return 1 on any violation.
 
     Parameters
     ----------
     options
-        What `make_parser` read.
+        Options read by the parser of `make_parser`.
     make_soak
-        Returns a run.
+        Returns a run for given settings.
     find_violations
-        Returns a line for each promise that a run broke.
+        Returns a line for each violation in a run.
     """
     failed = 0
     for seed in options.seeds:
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/tier_soak.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/tier_soak.py
@@ -1,9 +1,9 @@
-"""A load of three tiers on real instances: who gets nothing while less urgent begin.
+"""Soak of real instances with three tiers of load, checked for priority inversions.
 
-The instances are processes of their own, as many as asked for, and share the cores of
-one machine, so their loops come late; the store and the engines are stand-ins in this
-process. No fault is drawn. Less urgent requests come several times as often as usual
-for a while, before engines that hold nothing yet.
+The instances are separate processes and share the cores of one machine, so their event
+loops lag; the store and the engines are stand-ins in this process. No faults are
+injected. For a while less urgent requests arrive several times as often as usual, at
+engines whose prefix caches are still empty.
 """
 
 import sys
@@ -21,14 +21,18 @@
 __all__ = ["TierSoak", "main"]
 
 ENGINE_MEMORY_TOKENS = 600_000
-# Callers leave without an event after the longest of these: seconds, and times their
-# target and their longest pause.
+# Callers without a first event time out after the longest of these: seconds, multiples
+# of their target latency, and multiples of their longest accepted pause.
 MIN_CLIENT_TIMEOUT_S, CLIENT_TIMEOUT_TARGETS, CLIENT_TIMEOUT_PAUSES = 2.0, 4, 8
 
 
 @dataclass(frozen=True)
 class TrafficClass:
-    """Requests of one route; times in seconds, lengths in tokens on average."""
+    """Requests of one route; times in seconds, mean lengths in tokens.
+
+    Prompts start with one of `prefixes` shared segments of `shared_tokens`. During the
+    burst the rate is `per_s` times `burst_factor`.
+    """
 
     name: str
     tier: int
@@ -44,7 +48,7 @@
 
     @property
     def client_timeout_s(self) -> float:
-        """How long a caller waits for the first event."""
+        """Return how long a caller waits for the first event, in seconds."""
         longest = max(
             MIN_CLIENT_TIMEOUT_S,
             CLIENT_TIMEOUT_TARGETS * self.target_s,
@@ -63,14 +67,14 @@
 
 
 class TierSoak(SoakRun):
-    """One run; callers come most in the middle half of its time.
+    """One run, with a burst of requests in the middle half of its time.
 
     Parameters
     ----------
     settings
-        What all soaks are told.
+        Settings common to all soaks.
     engines
-        How many there are.
+        Number of engines.
     """
 
     def __init__(self, settings: RunSettings, engines: int) -> None:
@@ -105,7 +109,7 @@
             self.deployment.register(engine.id, DRAFTS, address)
 
     async def run_load(self) -> None:
-        """Let callers come for their time, and wait until all have left."""
+        """Generate requests for the set time, and wait for the last of them."""
         self._load_started_at = trio.current_time()
         async with trio.open_nursery() as callers:
             for traffic in TRAFFIC_CLASSES:
@@ -133,7 +137,7 @@
         return max(1, int(mean * min(14.0, self.rng.lognormvariate(-0.5, 1.0))))
 
     async def _call(self, traffic: TrafficClass) -> None:
-        """Ask once; who is refused does not come back."""
+        """Make one call, without a retry if it is refused."""
         request = f"r{next(self.numbers)}"
         instance = self.rng.randint(1, self.instance_count)
         prefix = self.rng.randrange(traffic.prefixes)
@@ -165,7 +169,11 @@
         instance: int,
         headers: list[tuple[bytes, bytes]],
     ) -> tuple[float | None, str]:
-        """Return when the first event came, or None, and how the attempt ended."""
+        """Return the time of the first event, if any, and the outcome.
+
+        The outcome is the status, the failure, "whole" for a complete response, or
+        "left" on a timeout.
+        """
         first_event_at, connection = None, None
         path = f"/{traffic.name}/x".encode()
         with trio.move_on_after(traffic.client_timeout_s) as scope:
@@ -188,17 +196,17 @@
         return first_event_at, "left"
 
     def describe(self) -> str:
-        """Return how many attempts there were."""
+        """Return the number of attempts."""
         return f"{len(self.attempts)} attempts"
 
 
 def find_violations(soak: TierSoak) -> list[str]:
-    """Return each window in which less urgent requests began in others' place."""
+    """Return a line for each window with a priority inversion."""
     return [str(each) for each in find_inversions(soak.attempts)]
 
 
 def main(arguments: list[str] | None = None) -> int:
-    """Play seeds one after the other; return 1 if any shows an inversion."""
+    """Run seeds one after the other; return 1 if any shows an inversion."""
     parser = make_parser(__doc__, 16.0, 7900, can_restart=False)
     parser.set_defaults(instances=12)
     parser.add_argument("--engines", type=int, default=8)
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/zone_soak.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/zone_soak.py
@@ -1,9 +1,9 @@
-"""Zones that are emptied and taken back, engines that start cold, routes of a region.
+"""Soak of evacuated and reopened zones, cold engines, and routes bound to a region.
 
-The instances are processes of their own; the store and the upstreams are stand-ins in
-this process. A zone is evacuated and reopened again and again, its engines are cold
-then; others are stopped and come back cold under another id. Some runs kill and start
-the instances in turn. One route may be served in one region only.
+The instances are separate processes; the store and the upstreams are stand-ins in this
+process. A zone is evacuated and reopened repeatedly, and its engines are cold when it
+reopens; other engines are stopped and restart cold under another id. Some runs kill
+and restart the instances in turn. One route may be served in one region only.
 """
 
 import itertools
@@ -20,7 +20,7 @@
 
 ZONES = ("zone-0", "zone-1")
 EVACUATED_ZONE = ZONES[0]
-# A route that only the region of the zone that is emptied may serve.
+# A route that only the region of the evacuated zone may serve.
 REGIONAL, REGION = "bound", "east"
 EVACUATION_S = 5.0
 OPEN_S = 4.0
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True)
 class Bounds:
-    """What is allowed at emptied zones and at cold engines."""
+    """Bounds on requests at evacuated zones and at cold engines; times in seconds."""
 
     evacuation_grace_s: float = 3.0
     restart_grace_s: float = 4.0
@@ -40,29 +40,31 @@
 
     @property
     def max_cold_per_s(self) -> float:
-        """Return the requests that may reach a cold engine in a second."""
+        """Return the number of requests allowed at a cold engine in a second."""
         return self.factor * self.cold_per_s + self.extra_requests
 
 
 class ZoneSoak(SoakRun):
-    """One run; see `SoakRun` for what is not named here.
+    """One run; see `SoakRun` for the other parameters.
 
     Parameters
     ----------
     engines
-        How many there are in each zone.
+        Number of engines in each zone.
+    per_s
+        Requests per second, over all routes.
     bounds
         What is allowed.
 
     Attributes
     ----------
     region_violations : int
-        Requests that reached an engine outside of their route's regions.
+        Number of requests that reached an engine outside their route's regions.
     late_arrivals : list of tuple
-        Requests that reached an emptied zone too late: how late in seconds, and from
-        which instance.
+        Requests that still reached the evacuated zone after the grace period: by how
+        many seconds, and from which instance.
     peak_cold_per_s : int
-        The most requests that reached a cold engine within a second.
+        Peak number of requests that reached a cold engine within a second.
     """
 
     def __init__(
@@ -85,7 +87,7 @@
 
     @property
     def peak_cold_per_s(self) -> int:
-        """Return the most requests that reached a cold engine within a second."""
+        """Return the peak number of requests at a cold engine within a second."""
         engines = [*self.stopped_engines, *self.running_engines.values()]
         return max(engine.peak_cold_per_s for engine in engines)
 
@@ -122,7 +124,7 @@
     async def _run_engine(
         self, address: str, zone: str, *, task_status=trio.TASK_STATUS_IGNORED
     ) -> None:
-        """Run incarnations of one engine, each under an id of its own."""
+        """Run one engine, restarting it cold under a new id after each stop."""
         is_first = True
         while True:
             engine = ColdEngine(f"e{next(self._ids)}", event_s=0.03)
@@ -146,7 +148,7 @@
     async def _send_heartbeats(
         self, engine: ColdEngine, address: str, zone: str, nursery: trio.Nursery
     ) -> None:
-        """Register an engine again and again, until it ends."""
+        """Renew the registration of an engine until it ends."""
         while not engine.crashed.is_set():
             cold_remaining_s = max(0.0, engine.cold_until - trio.current_time())
             self.deployment.register(
@@ -172,7 +174,7 @@
         return check_arrival
 
     async def generate_load(self, callers: trio.Nursery) -> None:
-        """Let callers come, and zones and engines go and come back."""
+        """Generate requests, evacuate and reopen a zone, and restart engines."""
         for path in ("once", "draft", REGIONAL):
             callers.start_soon(self.call_repeatedly, path, self.per_s / 3, callers)
         callers.start_soon(self._stop_engines)
@@ -187,14 +189,14 @@
                 self.running_engines[address].start_cold(self.bounds.cold_start_s)
 
     async def _stop_engines(self) -> None:
-        """Stop one engine after the other; each comes back cold."""
+        """Stop one engine after the other; each restarts cold."""
         while True:
             await trio.sleep(2.5)
             address = self.rng.choice(sorted(self.running_engines))
             self.running_engines[address].crashed.set()
 
     def describe(self) -> str:
-        """Return the most requests that reached a cold engine in a second."""
+        """Return the peak number of requests at a cold engine and the bound."""
         return (
             f"{self.peak_cold_per_s} of {self.bounds.max_cold_per_s:g} "
             "requests in a second at a cold engine"
@@ -202,19 +204,24 @@
 
 
 def find_violations(soak: ZoneSoak) -> list[str]:
-    """Return what reached an emptied zone late, and a cold engine too many times."""
+    """Return a line for each late arrival and each exceeded bound."""
     violations = [
-        f"{late_s:.1f} s late from {number}" for late_s, number in soak.late_arrivals
+        f"request from instance {number} {late_s:.1f} s after the grace period"
+        for late_s, number in soak.late_arrivals
     ]
     if soak.region_violations:
-        violations.append(f"{soak.region_violations} left the region of their route")
+        violations.append(
+            f"{soak.region_violations} requests left the region of their route"
+        )
     if soak.peak_cold_per_s > soak.bounds.max_cold_per_s:
-        violations.append(f"a cold engine got {soak.peak_cold_per_s} in a second")
+        violations.append(
+            f"a cold engine received {soak.peak_cold_per_s} requests in a second"
+        )
     return violations
 
 
 def main(arguments: list[str] | None = None) -> int:
-    """Play seeds one after the other; return 1 if any is over what is allowed."""
+    """Run seeds one after the other; return 1 if any exceeds its bounds."""
     parser = make_parser(__doc__, 30.0, 8400)
     parser.add_argument("--engines", type=int, default=4)
     parser.add_argument("--per-s", type=float, default=60.0)
