--- a/packages/buckthornwall-standins/src/buckthornwall_standins/faults/__init__.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/faults/__init__.py
@@ -18,7 +18,7 @@
 from .cell_run import CellRun
 from .core import JOBS, run_cell, run_cells
 from .grid import render_grid
-from .kinds import Cell, Fault, Point, Step, all_cells
+from .kinds import Cell, Fault, Guarantee, Step, all_cells
 from .steps import fill_engines
 
 __all__ = [
@@ -26,7 +26,7 @@
     "Cell",
     "CellRun",
     "Fault",
-    "Point",
+    "Guarantee",
     "Step",
     "all_cells",
     "fill_engines",
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/faults/__main__.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/faults/__main__.py
@@ -19,8 +19,8 @@
     chosen = [each for each in all_cells() if options.only in Cell(*each).name]
     cells = run_cells(chosen, options.jobs)
     for cell in cells:
-        for point, detail in cell.failed.items():
-            print(f"{cell.name}: {point.name}: {detail}")
+        for guarantee, detail in cell.failed.items():
+            print(f"{cell.name}: {guarantee.name}: {detail}")
     grid = render_grid(cells)
     if options.write:
         options.write.write_text(grid, encoding="utf-8")
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/faults/cell_run.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/faults/cell_run.py
@@ -11,7 +11,7 @@
 from buckthornwall_standins.deployments import ORDER_ROUTE, ClassLoad, key_of
 from buckthornwall_standins.memory_fleet import MemoryFleet, MemoryNode
 
-from .kinds import Cell, Point, Step
+from .kinds import Cell, Guarantee, Step
 
 __all__ = ["CellRun", "MAIN_TOKENS"]
 
@@ -52,9 +52,9 @@
         """Return the load of a class."""
         return next(each for each in self.fleet.deployment.loads if each.id == class_id)
 
-    def fail(self, point: Point, detail: str) -> None:
+    def fail(self, guarantee: Guarantee, detail: str) -> None:
         """Note that a point failed; the first detail is kept."""
-        self.cell.failed.setdefault(point, detail)
+        self.cell.failed.setdefault(guarantee, detail)
 
     # Requests
 
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/faults/checks.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/faults/checks.py
@@ -6,7 +6,7 @@
 from buckthornwall_standins.memory_fleet import MemoryNode
 
 from .cell_run import MAIN_TOKENS, TRICKLE_TOKENS, CellRun
-from .kinds import Fault, Point
+from .kinds import Fault, Guarantee
 
 __all__ = ["FIRST_NUMBER", "check_all"]
 
@@ -30,12 +30,12 @@
     faults = run.cell.faults
     outcome = run.main
     if outcome.verdict is Verdict.REFUSED:
-        run.fail(Point.URGENT, f"refused: {outcome.detail}")
+        run.fail(Guarantee.URGENT, f"refused: {outcome.detail}")
     excused = Fault.CALLER_GONE in faults or Fault.KILL_ENTRY in faults
     if outcome.verdict is not Verdict.WHOLE and not excused:
         stopped = Fault.STOP_ENTRY in faults
-        point = Point.GRACEFUL if stopped else Point.OWN_ANSWER
-        run.fail(point, f"main {outcome.verdict.value}: {outcome.detail}")
+        guarantee = Guarantee.GRACEFUL if stopped else Guarantee.OWN_ANSWER
+        run.fail(guarantee, f"main {outcome.verdict.value}: {outcome.detail}")
 
 
 def _check_counts(run: CellRun) -> None:
@@ -44,16 +44,16 @@
     confirmed = run.fleet.service.confirmed
     for outcome in run.outcomes:
         if outcome.verdict is Verdict.MIXED:
-            run.fail(Point.OWN_ANSWER, f"mixed up: {outcome.detail}")
+            run.fail(Guarantee.OWN_ANSWER, f"mixed up: {outcome.detail}")
         untrue = outcome.verdict is Verdict.REFUSED and outcome.run == "no"
         if untrue and outcome.arrival.nonce in started:
-            run.fail(Point.TRUE_REFUSAL, f"{outcome.arrival.nonce} had run")
+            run.fail(Guarantee.TRUE_REFUSAL, f"{outcome.arrival.nonce} had run")
     for order, count in confirmed.items():
         if count > 1:
-            run.fail(Point.AT_MOST_ONCE, f"{order} ran {count} times")
+            run.fail(Guarantee.AT_MOST_ONCE, f"{order} ran {count} times")
     for order in run.order_void:
         if confirmed[order]:
-            run.fail(Point.TRUE_REFUSAL, f"{order} had run")
+            run.fail(Guarantee.TRUE_REFUSAL, f"{order} had run")
 
 
 async def _check_records(run: CellRun) -> None:
@@ -68,13 +68,13 @@
         )
     except trio.TooSlowError:
         numbers = [node.node.store.number for node in fleet.alive()]
-        run.fail(Point.RECORDS, f"numbers {numbers}, published {fleet.number}")
+        run.fail(Guarantee.RECORDS, f"numbers {numbers}, published {fleet.number}")
     for node in fleet.nodes:
         shown = [number for number in node.numbers if number]
         if shown != sorted(shown):
-            run.fail(Point.RECORDS, f"{node.id} went back: {shown}")
+            run.fail(Guarantee.RECORDS, f"{node.id} went back: {shown}")
         if shown and shown[0] < FIRST_NUMBER:
-            run.fail(Point.RECORDS, f"{node.id} began with {shown[0]}")
+            run.fail(Guarantee.RECORDS, f"{node.id} began with {shown[0]}")
 
 
 async def _check_classes(run: CellRun) -> None:
@@ -84,7 +84,7 @@
         outcome = await run.ask(node, class_id, TRICKLE_TOKENS)
         if outcome.verdict is not Verdict.WHOLE:
             detail = f"{class_id} through {node.id}: {outcome.detail}"
-            run.fail(Point.NO_STARVATION, detail)
+            run.fail(Guarantee.NO_STARVATION, detail)
 
     async with trio.open_nursery() as nursery:
         for node in run.fleet.alive():
@@ -106,7 +106,7 @@
             nursery.start_soon(run.ask, node, "routine", TRICKLE_TOKENS)
     after = fleet.engines[engine_id].starts
     if after != before:
-        run.fail(Point.LEAVING, f"{after - before} new requests")
+        run.fail(Guarantee.LEAVING, f"{after - before} new requests")
 
 
 async def _check_graceful(run: CellRun) -> None:
@@ -119,6 +119,6 @@
         try:
             await run.fleet.stop(node)
         except trio.TooSlowError:
-            run.fail(Point.GRACEFUL, f"{node.id} never left")
+            run.fail(Guarantee.GRACEFUL, f"{node.id} never left")
     if outcome.verdict is not Verdict.WHOLE:
-        run.fail(Point.GRACEFUL, f"{outcome.verdict.value}: {outcome.detail}")
+        run.fail(Guarantee.GRACEFUL, f"{outcome.verdict.value}: {outcome.detail}")
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/faults/grid.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/faults/grid.py
@@ -1,13 +1,13 @@
 """The matrix as Markdown."""
 
-from .kinds import Cell, Fault, Point, Step
+from .kinds import Cell, Fault, Guarantee, Step
 
 __all__ = ["render_grid"]
 
 
 def render_grid(cells: list[Cell]) -> str:
     """Return the matrix as Markdown: the number of points that held."""
-    points = len(Point)
+    guarantees = len(Guarantee)
     steps = [step.value for step in Step]
     lines = [
         "# Fault matrix",
@@ -22,12 +22,12 @@
     shown = {(cell.step, cell.faults): cell for cell in cells}
     for fault in Fault:
         row = [shown.get((step, (fault,))) for step in Step]
-        marks = [_mark(cell, points) for cell in row]
+        marks = [_mark(cell, guarantees) for cell in row]
         lines.append(f"| {fault.value} | " + " | ".join(marks) + " |")
     pairs = [cell for cell in cells if len(cell.faults) > 1]
     lines += ["", f"## Two faults together, {Step.MID_STREAM.value}", ""]
     lines += [
-        f"- {cell.name.partition(': ')[2]}: {_mark(cell, points)}" for cell in pairs
+        f"- {cell.name.partition(': ')[2]}: {_mark(cell, guarantees)}" for cell in pairs
     ]
     lines += ["", "## Cells that cannot occur", ""]
     reasons = sorted({(c.name, c.why_not) for c in cells if c.why_not})
@@ -35,16 +35,18 @@
     failures = [cell for cell in cells if cell.failed]
     lines += ["", "## Points that failed", ""]
     lines += [
-        f"- {cell.name}: {point.value}: {detail}"
+        f"- {cell.name}: {guarantee.value}: {detail}"
         for cell in failures
-        for point, detail in cell.failed.items()
+        for guarantee, detail in cell.failed.items()
     ] or ["none"]
     lines += ["", "## The points", ""]
-    lines += [f"{index}. {point.value}" for index, point in enumerate(Point, 1)]
+    lines += [
+        f"{index}. {guarantee.value}" for index, guarantee in enumerate(Guarantee, 1)
+    ]
     return "\n".join(lines) + "\n"
 
 
-def _mark(cell: Cell | None, points: int) -> str:
+def _mark(cell: Cell | None, guarantees: int) -> str:
     if cell is None or cell.why_not:
         return "-"
-    return f"{points - len(cell.failed)}/{points}"
+    return f"{guarantees - len(cell.failed)}/{guarantees}"
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/faults/kinds.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/faults/kinds.py
@@ -4,10 +4,10 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-__all__ = ["Cell", "Fault", "Point", "Step", "all_cells", "cannot_occur"]
+__all__ = ["Cell", "Fault", "Guarantee", "Step", "all_cells", "cannot_occur"]
 
 
-class Point(Enum):
+class Guarantee(Enum):
     """The eight points of the brief that must always hold."""
 
     URGENT = "urgent work is never shed for a lower tier"
@@ -91,7 +91,7 @@
 
     step: Step
     faults: tuple[Fault, ...]
-    failed: dict[Point, str] = field(default_factory=dict)
+    failed: dict[Guarantee, str] = field(default_factory=dict)
     why_not: str = ""
 
     @property
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/tests/test_faults.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/tests/test_faults.py
@@ -16,7 +16,7 @@
 from buckthornwall_standins.faults import (
     JOBS,
     Fault,
-    Point,
+    Guarantee,
     Step,
     all_cells,
     render_grid,
@@ -133,26 +133,26 @@
 
 
 PLANTED = [
-    (Point.URGENT, refuse_urgent, Step.MID_STREAM, Fault.NONE),
-    (Point.NO_STARVATION, starve_low, Step.MID_STREAM, Fault.NONE),
+    (Guarantee.URGENT, refuse_urgent, Step.MID_STREAM, Fault.NONE),
+    (Guarantee.NO_STARVATION, starve_low, Step.MID_STREAM, Fault.NONE),
     (
-        Point.OWN_ANSWER,
+        Guarantee.OWN_ANSWER,
         start_over_instead_of_resuming,
         Step.MID_STREAM,
         Fault.ENGINE_CRASH,
     ),
-    (Point.TRUE_REFUSAL, claim_not_run, Step.OPENED, Fault.NONE),
-    (Point.AT_MOST_ONCE, dispatch_again, Step.MID_STREAM, Fault.NONE),
-    (Point.LEAVING, ignore_leaving, Step.MID_STREAM, Fault.NONE),
-    (Point.GRACEFUL, stop_at_once, Step.MID_STREAM, Fault.NONE),
-    (Point.RECORDS, adopt_anything, Step.MID_STREAM, Fault.SERVICE_STALE),
+    (Guarantee.TRUE_REFUSAL, claim_not_run, Step.OPENED, Fault.NONE),
+    (Guarantee.AT_MOST_ONCE, dispatch_again, Step.MID_STREAM, Fault.NONE),
+    (Guarantee.LEAVING, ignore_leaving, Step.MID_STREAM, Fault.NONE),
+    (Guarantee.GRACEFUL, stop_at_once, Step.MID_STREAM, Fault.NONE),
+    (Guarantee.RECORDS, adopt_anything, Step.MID_STREAM, Fault.SERVICE_STALE),
 ]
 
 
 @pytest.mark.parametrize(
-    ("point", "plant", "step", "fault"), PLANTED, ids=[p[0].name for p in PLANTED]
+    ("guarantee", "plant", "step", "fault"), PLANTED, ids=[p[0].name for p in PLANTED]
 )
-def test_a_planted_fault_is_caught(monkeypatch, point, plant, step, fault):
-    assert point not in run_cell(step, (fault,)).failed
+def test_a_planted_fault_is_caught(monkeypatch, guarantee, plant, step, fault):
+    assert guarantee not in run_cell(step, (fault,)).failed
     plant(monkeypatch)
-    assert point in run_cell(step, (fault,)).failed
+    assert guarantee in run_cell(step, (fault,)).failed
