--- a/packages/buckthornwall-standins/src/buckthornwall_standins/faults/cell_run.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/faults/cell_run.py
@@ -43,7 +43,7 @@
         self.main_ended = trio.Event()
         self.orders: list[str] = []
         self.serial = 0
-        self.undo: list[Callable[[], Awaitable[None] | None]] = []
+        self.undo_actions: list[Callable[[], Awaitable[None] | None]] = []
         self.answers_not_run: set[str] = set()
         self.order_void: set[str] = set()
         self.quiet = trio.Event()
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/faults/core.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/faults/core.py
@@ -11,9 +11,9 @@
 
 from .cell_run import ANSWER_LIMIT_S, CellRun
 from .checks import FIRST_NUMBER, check_all
-from .injection import inject, undo
+from .injection import inject_fault, undo_faults
 from .kinds import Cell, Fault, Step, cannot_occur
-from .steps import reach
+from .steps import advance_to_step
 
 __all__ = ["JOBS", "run_cell", "run_cells"]
 
@@ -21,21 +21,21 @@
 JOBS = 6
 FAULT_S = 3.0
 SETTLE_S = 4.0
-CELLS_A_CHUNK = 4
+CELLS_PER_CHUNK = 4
 
 
-async def _run(cell: Cell, plant: Callable[[MemoryFleet], None] | None) -> None:
+async def _run(cell: Cell, add_defect: Callable[[MemoryFleet], None] | None) -> None:
     fleet = MemoryFleet()
     fleet.number = FIRST_NUMBER
     async with trio.open_nursery() as fleet.nursery:
         await fleet.start()
-        if plant is not None:
-            plant(fleet)
+        if add_defect is not None:
+            add_defect(fleet)
         run = CellRun(fleet, cell)
         async with trio.open_nursery() as requests:
             requests.start_soon(run.trickle)
             key = await run.get_key(run.entry)
-            await reach(run, requests)
+            await advance_to_step(run, requests)
             order = f"order-{cell.name}"
             run.orders.append(order)
             if cell.step is not Step.KEY_HANDED_OVER:
@@ -43,9 +43,9 @@
                 await trio.sleep(0.004)
             async with trio.open_nursery() as injected:
                 for fault in cell.faults:
-                    inject(run, fault, injected)
+                    inject_fault(run, fault, injected)
                 await trio.sleep(FAULT_S)
-                await undo(run)
+                await undo_faults(run)
             with trio.move_on_after(ANSWER_LIMIT_S):
                 await run.main_ended.wait()
             run.quiet.set()
@@ -60,7 +60,7 @@
 def run_cell(
     step: Step,
     faults: tuple[Fault, ...],
-    plant: Callable[[MemoryFleet], None] | None = None,
+    add_defect: Callable[[MemoryFleet], None] | None = None,
     seed: int = SEED,
 ) -> Cell:
     """Run one cell on the mock clock.
@@ -69,7 +69,7 @@
     ----------
     step, faults
         Which cell.
-    plant
+    add_defect
         Breaks the running fleet's code on purpose, to show that it is caught.
     seed
         Of ids, jitter and scheduling.
@@ -79,10 +79,10 @@
     Cell
         With the points that failed.
     """
-    cell = Cell(step, faults, why_not=cannot_occur(step, faults))
-    if not cell.why_not:
+    cell = Cell(step, faults, impossible_reason=cannot_occur(step, faults))
+    if not cell.impossible_reason:
         make_deterministic(seed)
-        trio.run(_run, cell, plant, clock=MockClock(autojump_threshold=0))
+        trio.run(_run, cell, add_defect, clock=MockClock(autojump_threshold=0))
     return cell
 
 
@@ -94,4 +94,4 @@
 def run_cells(cells: list[tuple[Step, tuple[Fault, ...]]], jobs: int) -> list[Cell]:
     """Run many cells, spread over processes; each cell repeats by itself."""
     with ProcessPoolExecutor(jobs) as pool:
-        return list(pool.map(_run_quietly, cells, chunksize=CELLS_A_CHUNK))
+        return list(pool.map(_run_quietly, cells, chunksize=CELLS_PER_CHUNK))
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/faults/grid.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/faults/grid.py
@@ -30,7 +30,9 @@
         f"- {cell.name.partition(': ')[2]}: {_mark(cell, guarantees)}" for cell in pairs
     ]
     lines += ["", "## Cells that cannot occur", ""]
-    reasons = sorted({(c.name, c.why_not) for c in cells if c.why_not})
+    reasons = sorted(
+        {(c.name, c.impossible_reason) for c in cells if c.impossible_reason}
+    )
     lines += [f"- {name}: {why}" for name, why in reasons]
     failures = [cell for cell in cells if cell.failed]
     lines += ["", "## Points that failed", ""]
@@ -47,6 +49,6 @@
 
 
 def _mark(cell: Cell | None, guarantees: int) -> str:
-    if cell is None or cell.why_not:
+    if cell is None or cell.impossible_reason:
         return "-"
     return f"{guarantees - len(cell.failed)}/{guarantees}"
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/faults/injection.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/faults/injection.py
@@ -7,7 +7,7 @@
 from .cell_run import MAIN_TOKENS, CellRun
 from .kinds import ENTRY_FAULTS, Fault
 
-__all__ = ["inject", "undo"]
+__all__ = ["inject_fault", "undo_faults"]
 
 RESTART_S = 1.5
 STALE_NUMBER = 1
@@ -21,7 +21,7 @@
     return next(iter(run.fleet.engines))
 
 
-def inject(run: CellRun, fault: Fault, nursery: trio.Nursery) -> None:
+def inject_fault(run: CellRun, fault: Fault, nursery: trio.Nursery) -> None:
     """Inject one fault, and note how to undo it."""
     fleet = run.fleet
     engine_id = _serving_engine(run)
@@ -29,29 +29,29 @@
     node = run.entry if fault in ENTRY_FAULTS else run.scheduler
     if fault is Fault.ENGINE_CRASH:
         fleet.crash_engine(engine_id)
-        run.undo.append(lambda: fleet.restart_engine(engine_id))
+        run.undo_actions.append(lambda: fleet.restart_engine(engine_id))
     elif fault is Fault.ENGINE_SLOW:
         engine.slow = 4.0
-        run.undo.append(lambda: setattr(engine, "slow", 1.0))
+        run.undo_actions.append(lambda: setattr(engine, "slow", 1.0))
     elif fault is Fault.LATE_REPORTS:
         for each in fleet.engines.values():
             each.model.report_lag_s = 5.0
     elif fault is Fault.SERVICE_DOWN:
         fleet.platform.down = True
-        run.undo.append(lambda: setattr(fleet.platform, "down", False))
+        run.undo_actions.append(lambda: setattr(fleet.platform, "down", False))
     elif fault is Fault.SERVICE_STALE:
         fleet.platform.shows_always = True
         fleet.publish(STALE_NUMBER)
-        run.undo.append(lambda: _refresh(fleet))
+        run.undo_actions.append(lambda: _serve_newest_records(fleet))
     elif fault is Fault.LIST_LATE:
         fleet.platform.list_lag_s = 10.0
-        run.undo.append(lambda: setattr(fleet.platform, "list_lag_s", 0.3))
+        run.undo_actions.append(lambda: setattr(fleet.platform, "list_lag_s", 0.3))
     elif fault in (Fault.FREEZE_ENTRY, Fault.FREEZE_SCHEDULER):
         fleet.freeze(node)
-        run.undo.append(lambda: fleet.thaw(node))
+        run.undo_actions.append(lambda: fleet.thaw(node))
     elif fault in (Fault.KILL_ENTRY, Fault.KILL_SCHEDULER):
         fleet.kill(node)
-        nursery.start_soon(_replace_killed, fleet, node)
+        nursery.start_soon(_restart_killed, fleet, node)
     elif fault is Fault.CUT_NODES:
         fleet.network.cut(run.entry.host, run.scheduler.host)
     elif fault is Fault.CUT_UPSTREAM:
@@ -62,31 +62,31 @@
         nursery.start_soon(run.ask, run.third, "urgent", MAIN_TOKENS)
     else:
         nursery.start_soon(fleet.stop, node)
-        run.undo.append(lambda: _replace(fleet, node))
+        run.undo_actions.append(lambda: _restart_stopped(fleet, node))
 
 
-def _refresh(fleet: MemoryFleet) -> None:
+def _serve_newest_records(fleet: MemoryFleet) -> None:
     fleet.platform.shows_always = False
     fleet.publish(fleet.number)
 
 
-async def _replace_killed(fleet: MemoryFleet, node: MemoryNode) -> None:
+async def _restart_killed(fleet: MemoryFleet, node: MemoryNode) -> None:
     """Start an instance anew while whatever else is wrong still is."""
     await trio.sleep(RESTART_S)
     fleet.start_node(node)
 
 
-async def _replace(fleet: MemoryFleet, node: MemoryNode) -> None:
+async def _restart_stopped(fleet: MemoryFleet, node: MemoryNode) -> None:
     """Start an instance anew once it has left."""
     await node.ended.wait()
     await trio.sleep(0.1)
     fleet.start_node(node)
 
 
-async def undo(run: CellRun) -> None:
+async def undo_faults(run: CellRun) -> None:
     """Undo every fault of the cell."""
     run.fleet.network.heal()
-    for action in run.undo:
+    for action in run.undo_actions:
         waiting = action()
         if waiting is not None:
             await waiting
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/faults/kinds.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/faults/kinds.py
@@ -92,7 +92,7 @@
     step: Step
     faults: tuple[Fault, ...]
     failed: dict[Guarantee, str] = field(default_factory=dict)
-    why_not: str = ""
+    impossible_reason: str = ""
 
     @property
     def name(self) -> str:
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/faults/steps.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/faults/steps.py
@@ -9,28 +9,28 @@
 from .cell_run import MAIN_TOKENS, CellRun
 from .kinds import RECORD_STEPS, Step
 
-__all__ = ["fill_engines", "reach"]
+__all__ = ["fill_engines", "advance_to_step"]
 
 FILL_TOKENS = 60
-FINE_POLL_S = 0.0001
+STEP_POLL_S = 0.0001
 
 
-async def reach(run: CellRun, nursery: trio.Nursery) -> None:
+async def advance_to_step(run: CellRun, nursery: trio.Nursery) -> None:
     """Bring the main request, or a set of records, to the cell's step."""
     step = run.cell.step
     run.main = run.new_outcome(run.node_for_main(), "urgent", MAIN_TOKENS)
     if step in RECORD_STEPS:
-        await _reach_record_step(run, nursery)
+        await _advance_to_record_step(run, nursery)
         return
     if step is Step.KEY_HANDED_OVER:
-        await _reach_hand_over(run, nursery)
+        await _advance_to_hand_over(run, nursery)
         return
     if step is Step.QUEUED:
         await fill_engines(run, nursery)
     nursery.start_soon(run.run_main)
-    reached = _condition(run, step)
+    reached = _step_condition(run, step)
     await run.fleet.until(
-        lambda: reached() or run.main_ended.is_set(), poll_s=FINE_POLL_S
+        lambda: reached() or run.main_ended.is_set(), poll_s=STEP_POLL_S
     )
 
 
@@ -43,7 +43,7 @@
     await run.fleet.until(lambda: sum(len(e.running) for e in engines) == slots)
 
 
-def _condition(run: CellRun, step: Step) -> Callable[[], bool]:
+def _step_condition(run: CellRun, step: Step) -> Callable[[], bool]:
     node = run.entry.node
     nonce = run.main.arrival.nonce
     engines = run.fleet.engines.values()
@@ -63,7 +63,7 @@
     }[step]
 
 
-async def _reach_hand_over(run: CellRun, nursery: trio.Nursery) -> None:
+async def _advance_to_hand_over(run: CellRun, nursery: trio.Nursery) -> None:
     """Let the owner of a key with a call in flight stop as planned."""
     fleet = run.fleet
     key = await run.get_key(run.entry)
@@ -75,13 +75,13 @@
     owner = (run.entry.node.node, run.entry.node.incarnation)
     others = [run.third.node.idempotency, run.scheduler.node.idempotency]
     await fleet.until(
-        lambda: any(owner in other.ledgers for other in others), poll_s=FINE_POLL_S
+        lambda: any(owner in other.ledgers for other in others), poll_s=STEP_POLL_S
     )
     nursery.start_soon(run.run_main)
     nursery.start_soon(run.confirm_until_settled, order, key)
 
 
-async def _reach_record_step(run: CellRun, nursery: trio.Nursery) -> None:
+async def _advance_to_record_step(run: CellRun, nursery: trio.Nursery) -> None:
     """Publish to a platform that answers only the scheduler's instance."""
     fleet = run.fleet
     nursery.start_soon(run.run_main)
@@ -96,4 +96,4 @@
 
     wanted = {Step.PUBLISHED: 0, Step.WATCHED: 1, Step.SPREAD: 2, Step.IN_FORCE: 3}
     least = wanted[run.cell.step]
-    await fleet.until(lambda: holders() >= least, poll_s=FINE_POLL_S)
+    await fleet.until(lambda: holders() >= least, poll_s=STEP_POLL_S)
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/tests/test_faults.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/tests/test_faults.py
@@ -132,7 +132,7 @@
     monkeypatch.setattr(RecordStore, "offer", offer)
 
 
-PLANTED = [
+DEFECTS = [
     (Guarantee.URGENT, refuse_urgent, Step.MID_STREAM, Fault.NONE),
     (Guarantee.NO_STARVATION, starve_low, Step.MID_STREAM, Fault.NONE),
     (
@@ -150,9 +150,11 @@
 
 
 @pytest.mark.parametrize(
-    ("guarantee", "plant", "step", "fault"), PLANTED, ids=[p[0].name for p in PLANTED]
+    ("guarantee", "add_defect", "step", "fault"),
+    DEFECTS,
+    ids=[p[0].name for p in DEFECTS],
 )
-def test_a_planted_fault_is_caught(monkeypatch, guarantee, plant, step, fault):
+def test_a_planted_fault_is_caught(monkeypatch, guarantee, add_defect, step, fault):
     assert guarantee not in run_cell(step, (fault,)).failed
-    plant(monkeypatch)
+    add_defect(monkeypatch)
     assert guarantee in run_cell(step, (fault,)).failed
