--- a/packages/buckthornwall-standins/src/buckthornwall_standins/faults/cell_run.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/faults/cell_run.py
@@ -16,10 +16,10 @@
 __all__ = ["CellRun", "MAIN_TOKENS"]
 
 MAIN_TOKENS = 20
-ANSWER_LIMIT_S = 40.0
-TRICKLE_S = 0.25
-TRICKLE_TOKENS = 6
-ORDER_TRIES = 8
+RESPONSE_TIMEOUT_S = 40.0
+BACKGROUND_INTERVAL_S = 0.25
+BACKGROUND_TOKENS = 6
+MAX_ORDER_ATTEMPTS = 8
 
 
 class CellRun:
@@ -44,21 +44,21 @@
         self.orders: list[str] = []
         self.serial = 0
         self.undo_actions: list[Callable[[], Awaitable[None] | None]] = []
-        self.answers_not_run: set[str] = set()
-        self.order_void: set[str] = set()
-        self.quiet = trio.Event()
+        self.responses_not_run: set[str] = set()
+        self.orders_not_run: set[str] = set()
+        self.background_stopped = trio.Event()
 
-    def load(self, class_id: str) -> ClassLoad:
+    def get_load(self, class_id: str) -> ClassLoad:
         """Return the load of a class."""
         return next(each for each in self.fleet.deployment.loads if each.id == class_id)
 
-    def fail(self, guarantee: Guarantee, detail: str) -> None:
+    def record_failure(self, guarantee: Guarantee, detail: str) -> None:
         """Note that a point failed; the first detail is kept."""
         self.cell.failed.setdefault(guarantee, detail)
 
     # Requests
 
-    async def ask(self, node: MemoryNode, class_id: str, tokens: int) -> Outcome:
+    async def request(self, node: MemoryNode, class_id: str, tokens: int) -> Outcome:
         """Send one completion through a node and wait for its end."""
         outcome = self.new_outcome(node, class_id, tokens)
         await self.send(node, outcome)
@@ -69,14 +69,14 @@
         self.serial += 1
         at = trio.current_time() - self.callers.started
         nonce = f"x{self.serial}"
-        arrival = Arrival(at, self.load(class_id), "one", nonce, tokens, 0)
+        arrival = Arrival(at, self.get_load(class_id), "one", nonce, tokens, 0)
         outcome = Outcome(arrival, node=node.id)
         self.outcomes.append(outcome)
         return outcome
 
     async def send(self, node: MemoryNode, outcome: Outcome) -> None:
         """Send the request of an outcome and wait for its end."""
-        with trio.move_on_after(ANSWER_LIMIT_S):
+        with trio.move_on_after(RESPONSE_TIMEOUT_S):
             try:
                 await self.callers._stream(node, outcome.arrival, outcome)
             except TRANSPORT_ERRORS as error:
@@ -93,16 +93,18 @@
         handed_over = self.cell.step is Step.KEY_HANDED_OVER
         return self.third if handed_over else self.entry
 
-    async def trickle(self) -> None:
+    async def run_background_load(self) -> None:
         """Keep some work of a lower tier going, to compete with the urgent."""
         async with trio.open_nursery() as nursery:
-            while not self.quiet.is_set():
-                nursery.start_soon(self.ask, self.third, "routine", TRICKLE_TOKENS)
-                await trio.sleep(TRICKLE_S)
+            while not self.background_stopped.is_set():
+                nursery.start_soon(
+                    self.request, self.third, "routine", BACKGROUND_TOKENS
+                )
+                await trio.sleep(BACKGROUND_INTERVAL_S)
 
     # Orders
 
-    async def get_key(self, node: MemoryNode) -> str:
+    async def create_idempotency_key(self, node: MemoryNode) -> str:
         """Return a fresh idempotency key of an instance."""
         response = await self.callers.pool.request(
             "POST",
@@ -131,13 +133,13 @@
         body = msgspec.json.decode(response.content)
         run = body.get("error", {}).get("run", "yes")
         if run == "no":
-            self.order_void.add(order)
+            self.orders_not_run.add(order)
         return response.status, run
 
     async def confirm_until_settled(self, order: str, key: str) -> None:
         """Repeat a confirmation through one node after another."""
         nodes = itertools.cycle([self.third, self.scheduler, self.entry])
-        for _ in range(ORDER_TRIES):
+        for _ in range(MAX_ORDER_ATTEMPTS):
             node = next(each for each in nodes if each in self.fleet.alive())
             status, run = await self.confirm(node, order, key)
             if status == 200 or (status and run == "no"):
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/faults/checks.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/faults/checks.py
@@ -5,7 +5,7 @@
 from buckthornwall_standins.callers import Verdict
 from buckthornwall_standins.memory_fleet import MemoryNode
 
-from .cell_run import MAIN_TOKENS, TRICKLE_TOKENS, CellRun
+from .cell_run import BACKGROUND_TOKENS, MAIN_TOKENS, CellRun
 from .kinds import Fault, Guarantee
 
 __all__ = ["FIRST_NUMBER", "check_all"]
@@ -30,12 +30,12 @@
     faults = run.cell.faults
     outcome = run.main
     if outcome.verdict is Verdict.REFUSED:
-        run.fail(Guarantee.URGENT, f"refused: {outcome.detail}")
+        run.record_failure(Guarantee.URGENT, f"refused: {outcome.detail}")
     excused = Fault.CALLER_GONE in faults or Fault.KILL_ENTRY in faults
     if outcome.verdict is not Verdict.WHOLE and not excused:
         stopped = Fault.STOP_ENTRY in faults
         guarantee = Guarantee.GRACEFUL if stopped else Guarantee.OWN_ANSWER
-        run.fail(guarantee, f"main {outcome.verdict.value}: {outcome.detail}")
+        run.record_failure(guarantee, f"main {outcome.verdict.value}: {outcome.detail}")
 
 
 def _check_counts(run: CellRun) -> None:
@@ -44,16 +44,18 @@
     confirmed = run.fleet.service.confirmed
     for outcome in run.outcomes:
         if outcome.verdict is Verdict.MIXED:
-            run.fail(Guarantee.OWN_ANSWER, f"mixed up: {outcome.detail}")
+            run.record_failure(Guarantee.OWN_ANSWER, f"mixed up: {outcome.detail}")
         untrue = outcome.verdict is Verdict.REFUSED and outcome.run == "no"
         if untrue and outcome.arrival.nonce in started:
-            run.fail(Guarantee.TRUE_REFUSAL, f"{outcome.arrival.nonce} had run")
+            run.record_failure(
+                Guarantee.TRUE_REFUSAL, f"{outcome.arrival.nonce} had run"
+            )
     for order, count in confirmed.items():
         if count > 1:
-            run.fail(Guarantee.AT_MOST_ONCE, f"{order} ran {count} times")
-    for order in run.order_void:
+            run.record_failure(Guarantee.AT_MOST_ONCE, f"{order} ran {count} times")
+    for order in run.orders_not_run:
         if confirmed[order]:
-            run.fail(Guarantee.TRUE_REFUSAL, f"{order} had run")
+            run.record_failure(Guarantee.TRUE_REFUSAL, f"{order} had run")
 
 
 async def _check_records(run: CellRun) -> None:
@@ -68,23 +70,25 @@
         )
     except trio.TooSlowError:
         numbers = [node.node.store.number for node in fleet.alive()]
-        run.fail(Guarantee.RECORDS, f"numbers {numbers}, published {fleet.number}")
+        run.record_failure(
+            Guarantee.RECORDS, f"numbers {numbers}, published {fleet.number}"
+        )
     for node in fleet.nodes:
         shown = [number for number in node.numbers if number]
         if shown != sorted(shown):
-            run.fail(Guarantee.RECORDS, f"{node.id} went back: {shown}")
+            run.record_failure(Guarantee.RECORDS, f"{node.id} went back: {shown}")
         if shown and shown[0] < FIRST_NUMBER:
-            run.fail(Guarantee.RECORDS, f"{node.id} began with {shown[0]}")
+            run.record_failure(Guarantee.RECORDS, f"{node.id} began with {shown[0]}")
 
 
 async def _check_classes(run: CellRun) -> None:
     """Check that every class is served through every instance."""
 
     async def probe(node: MemoryNode, class_id: str) -> None:
-        outcome = await run.ask(node, class_id, TRICKLE_TOKENS)
+        outcome = await run.request(node, class_id, BACKGROUND_TOKENS)
         if outcome.verdict is not Verdict.WHOLE:
             detail = f"{class_id} through {node.id}: {outcome.detail}"
-            run.fail(Guarantee.NO_STARVATION, detail)
+            run.record_failure(Guarantee.NO_STARVATION, detail)
 
     async with trio.open_nursery() as nursery:
         for node in run.fleet.alive():
@@ -102,11 +106,11 @@
     before = fleet.engines[engine_id].starts
     async with trio.open_nursery() as nursery:
         for node in fleet.alive():
-            nursery.start_soon(run.ask, node, "urgent", TRICKLE_TOKENS)
-            nursery.start_soon(run.ask, node, "routine", TRICKLE_TOKENS)
+            nursery.start_soon(run.request, node, "urgent", BACKGROUND_TOKENS)
+            nursery.start_soon(run.request, node, "routine", BACKGROUND_TOKENS)
     after = fleet.engines[engine_id].starts
     if after != before:
-        run.fail(Guarantee.LEAVING, f"{after - before} new requests")
+        run.record_failure(Guarantee.LEAVING, f"{after - before} new requests")
 
 
 async def _check_graceful(run: CellRun) -> None:
@@ -119,6 +123,8 @@
         try:
             await run.fleet.stop(node)
         except trio.TooSlowError:
-            run.fail(Guarantee.GRACEFUL, f"{node.id} never left")
+            run.record_failure(Guarantee.GRACEFUL, f"{node.id} never left")
     if outcome.verdict is not Verdict.WHOLE:
-        run.fail(Guarantee.GRACEFUL, f"{outcome.verdict.value}: {outcome.detail}")
+        run.record_failure(
+            Guarantee.GRACEFUL, f"{outcome.verdict.value}: {outcome.detail}"
+        )
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/faults/core.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/faults/core.py
@@ -9,7 +9,7 @@
 
 from buckthornwall_standins.memory_fleet import MemoryFleet, make_deterministic
 
-from .cell_run import ANSWER_LIMIT_S, CellRun
+from .cell_run import RESPONSE_TIMEOUT_S, CellRun
 from .checks import FIRST_NUMBER, check_all
 from .injection import inject_fault, undo_faults
 from .kinds import Cell, Fault, Step, cannot_occur
@@ -33,8 +33,8 @@
             add_defect(fleet)
         run = CellRun(fleet, cell)
         async with trio.open_nursery() as requests:
-            requests.start_soon(run.trickle)
-            key = await run.get_key(run.entry)
+            requests.start_soon(run.run_background_load)
+            key = await run.create_idempotency_key(run.entry)
             await advance_to_step(run, requests)
             order = f"order-{cell.name}"
             run.orders.append(order)
@@ -46,9 +46,9 @@
                     inject_fault(run, fault, injected)
                 await trio.sleep(FAULT_S)
                 await undo_faults(run)
-            with trio.move_on_after(ANSWER_LIMIT_S):
+            with trio.move_on_after(RESPONSE_TIMEOUT_S):
                 await run.main_ended.wait()
-            run.quiet.set()
+            run.background_stopped.set()
             await trio.sleep(SETTLE_S)
             if cell.step is not Step.KEY_HANDED_OVER:
                 await run.confirm_until_settled(order, key)
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/faults/injection.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/faults/injection.py
@@ -59,7 +59,7 @@
     elif fault is Fault.CALLER_GONE:
         run.main_scope.cancel()
     elif fault is Fault.CALLER_REPEATS:
-        nursery.start_soon(run.ask, run.third, "urgent", MAIN_TOKENS)
+        nursery.start_soon(run.request, run.third, "urgent", MAIN_TOKENS)
     else:
         nursery.start_soon(fleet.stop, node)
         run.undo_actions.append(lambda: _restart_stopped(fleet, node))
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/faults/steps.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/faults/steps.py
@@ -37,7 +37,7 @@
 async def fill_engines(run: CellRun, nursery: trio.Nursery) -> None:
     """Fill every slot, so that the next request has to wait."""
     for class_id in ("routine", "routine", "routine", "urgent"):
-        nursery.start_soon(run.ask, run.third, class_id, FILL_TOKENS)
+        nursery.start_soon(run.request, run.third, class_id, FILL_TOKENS)
     slots = sum(engine.model.slots for engine in run.fleet.engines.values())
     engines = run.fleet.engines.values()
     await run.fleet.until(lambda: sum(len(e.running) for e in engines) == slots)
@@ -66,7 +66,7 @@
 async def _advance_to_hand_over(run: CellRun, nursery: trio.Nursery) -> None:
     """Let the owner of a key with a call in flight stop as planned."""
     fleet = run.fleet
-    key = await run.get_key(run.entry)
+    key = await run.create_idempotency_key(run.entry)
     order = f"handed-over-{run.cell.name}"
     run.orders.append(order)
     nursery.start_soon(run.confirm, run.third, order, key)
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/tests/test_bad_input.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/tests/test_bad_input.py
@@ -88,7 +88,7 @@
             assert found[0] == status, (path, found)
             assert found[1]["error"]["code"] == code
             assert found[1]["error"]["run"] == "no"
-        assert (await run.ask(run.entry, "urgent", 4)).verdict is Verdict.WHOLE
+        assert (await run.request(run.entry, "urgent", 4)).verdict is Verdict.WHOLE
         assert not fleet.service.confirmed
 
     in_memory(body)
@@ -127,7 +127,7 @@
     async def body(fleet, run):
         bad = fleet.engines["m-1"]
         bad.garbage = True
-        outcomes = [await run.ask(run.entry, "urgent", 4) for _ in range(6)]
+        outcomes = [await run.request(run.entry, "urgent", 4) for _ in range(6)]
         assert all(each.verdict is Verdict.WHOLE for each in outcomes)
 
     in_memory(body)
@@ -137,7 +137,7 @@
     async def body(fleet, run):
         for engine in fleet.engines.values():
             engine.leaving = engine.name == "m-1"
-        outcomes = [await run.ask(run.entry, "urgent", 4) for _ in range(6)]
+        outcomes = [await run.request(run.entry, "urgent", 4) for _ in range(6)]
         assert all(each.verdict is Verdict.WHOLE for each in outcomes)
         assert fleet.engines["m-1"].asked_after_leaving <= 1
 
@@ -155,7 +155,7 @@
         fleet.publish(9, records)
         await fleet.until(lambda: run.entry.node.store.number == 9)
         before = trio.current_time()
-        outcome = await run.ask(run.entry, "urgent", 4)
+        outcome = await run.request(run.entry, "urgent", 4)
         assert (outcome.verdict, outcome.code) == (Verdict.REFUSED, 2003)
         assert outcome.run == "no"
         assert trio.current_time() - before < 0.5
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/tests/test_races.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/tests/test_races.py
@@ -94,7 +94,7 @@
     async def body(fleet, run):
         leaving = next(iter(fleet.engines))
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(run.trickle)
+            nursery.start_soon(run.run_background_load)
             outcome = run.new_outcome(run.entry, "urgent", 20)
             nursery.start_soon(run.send, run.entry, outcome)
             await fleet.until(lambda: run.entry.node.entry.held, poll_s=0.0001)
@@ -103,7 +103,7 @@
             await trio.sleep(3)
             before = fleet.engines[leaving].starts
             await trio.sleep(5)
-            run.quiet.set()
+            run.background_stopped.set()
         assert fleet.engines[leaving].starts == before
         assert outcome.verdict is Verdict.WHOLE
 
@@ -116,7 +116,7 @@
         records["records"].append({"kind": "class", "schema": 9, "id": "new"})
         fleet.publish(2, records)
         await in_force(fleet, 2)
-        assert (await run.ask(run.entry, "urgent", 4)).verdict is Verdict.WHOLE
+        assert (await run.request(run.entry, "urgent", 4)).verdict is Verdict.WHOLE
         refused = run.entry.node.status()["records"]["refused"]
         assert [code for code, _ in refused] == [5002]
 
@@ -195,7 +195,7 @@
 
         async def ask():
             before = trio.current_time()
-            outcome = await run.ask(run.entry, "routine", 150)
+            outcome = await run.request(run.entry, "routine", 150)
             outcomes.append((outcome, trio.current_time() - before))
 
         async with trio.open_nursery() as nursery:
@@ -203,7 +203,7 @@
                 nursery.start_soon(ask)
         refused = [each for each in outcomes if each[0].verdict is Verdict.REFUSED]
         assert refused
-        first_token_s = run.load("routine").first_token_s
+        first_token_s = run.get_load("routine").first_token_s
         for outcome, took_s in refused:
             assert took_s <= first_token_s + 0.2
             assert outcome.run == "no"
