--- a/packages/buckthornwall-standins/src/buckthornwall_standins/callers.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/callers.py
@@ -40,10 +40,10 @@
 class Verdict(Enum):
     """How a request ended, as its caller saw it."""
 
-    WHOLE = "whole"
+    COMPLETE = "whole"
     REFUSED = "refused"
     BROKEN = "broken"
-    MIXED = "mixed up"
+    CORRUPTED = "mixed up"
 
 
 @dataclass(frozen=True)
@@ -90,7 +90,7 @@
         """Whether the whole answer came within the class's targets."""
         load = self.arrival.load
         return (
-            self.verdict is Verdict.WHOLE
+            self.verdict is Verdict.COMPLETE
             and self.first_token_s <= load.first_token_s
             and self.inter_token_s <= load.inter_token_s
             and self.total_s <= load.total_s
@@ -295,8 +295,8 @@
         if event == DONE:
             outcome.total_s = now
             whole = outcome.tokens == arrival.length
-            if outcome.verdict is not Verdict.MIXED:
-                outcome.verdict = Verdict.WHOLE if whole else Verdict.MIXED
+            if outcome.verdict is not Verdict.CORRUPTED:
+                outcome.verdict = Verdict.COMPLETE if whole else Verdict.CORRUPTED
             return
         chunk = msgspec.json.decode(event)
         if "error" in chunk:
@@ -308,7 +308,7 @@
             if not text:
                 continue
             if text != f"{arrival.nonce}.{outcome.tokens} ":
-                outcome.verdict = Verdict.MIXED
+                outcome.verdict = Verdict.CORRUPTED
                 outcome.detail = text
             if not outcome.tokens:
                 outcome.first_token_s = now
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/faults/checks.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/faults/checks.py
@@ -32,7 +32,7 @@
     if outcome.verdict is Verdict.REFUSED:
         run.record_failure(Guarantee.URGENT, f"refused: {outcome.detail}")
     excused = Fault.CALLER_GONE in faults or Fault.KILL_ENTRY in faults
-    if outcome.verdict is not Verdict.WHOLE and not excused:
+    if outcome.verdict is not Verdict.COMPLETE and not excused:
         stopped = Fault.STOP_ENTRY in faults
         guarantee = Guarantee.GRACEFUL if stopped else Guarantee.OWN_ANSWER
         run.record_failure(guarantee, f"main {outcome.verdict.value}: {outcome.detail}")
@@ -43,7 +43,7 @@
     started = run.fleet.started()
     confirmed = run.fleet.service.confirmed
     for outcome in run.outcomes:
-        if outcome.verdict is Verdict.MIXED:
+        if outcome.verdict is Verdict.CORRUPTED:
             run.record_failure(Guarantee.OWN_ANSWER, f"mixed up: {outcome.detail}")
         untrue = outcome.verdict is Verdict.REFUSED and outcome.run == "no"
         if untrue and outcome.arrival.nonce in started:
@@ -86,7 +86,7 @@
 
     async def probe(node: MemoryNode, class_id: str) -> None:
         outcome = await run.request(node, class_id, BACKGROUND_TOKENS)
-        if outcome.verdict is not Verdict.WHOLE:
+        if outcome.verdict is not Verdict.COMPLETE:
             detail = f"{class_id} through {node.id}: {outcome.detail}"
             run.record_failure(Guarantee.NO_STARVATION, detail)
 
@@ -124,7 +124,7 @@
             await run.fleet.stop(node)
         except trio.TooSlowError:
             run.record_failure(Guarantee.GRACEFUL, f"{node.id} never left")
-    if outcome.verdict is not Verdict.WHOLE:
+    if outcome.verdict is not Verdict.COMPLETE:
         run.record_failure(
             Guarantee.GRACEFUL, f"{outcome.verdict.value}: {outcome.detail}"
         )
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/faults/steps.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/faults/steps.py
@@ -59,7 +59,7 @@
         Step.FIRST_TOKEN: lambda: generated() >= 1,
         Step.MID_STREAM: lambda: generated() >= MAIN_TOKENS // 2,
         Step.LAST_TOKEN: lambda: generated() >= MAIN_TOKENS,
-        Step.RELAYED: lambda: run.main.verdict is Verdict.WHOLE,
+        Step.RELAYED: lambda: run.main.verdict is Verdict.COMPLETE,
     }[step]
 
 
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/report.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/report.py
@@ -47,7 +47,7 @@
     seconds: float
     refusals: int
     false_refusals: int
-    mixed_up: int
+    corrupted: int
     doubled_orders: int
     false_order_refusals: int
     lost_confirmations: int
@@ -79,7 +79,7 @@
             classes=_class_figures(outcomes),
             useful_tokens=sum(each.tokens for each in outcomes if each.attained),
             delivered_tokens=sum(
-                each.tokens for each in outcomes if each.verdict is Verdict.WHOLE
+                each.tokens for each in outcomes if each.verdict is Verdict.COMPLETE
             ),
             generated_tokens=sum(
                 sum(counts["generated"].values()) for counts in engine_counts
@@ -87,7 +87,7 @@
             seconds=seconds,
             refusals=sum(each.verdict is Verdict.REFUSED for each in outcomes),
             false_refusals=sum(each.arrival.nonce in started for each in unrun),
-            mixed_up=sum(each.verdict is Verdict.MIXED for each in outcomes),
+            corrupted=sum(each.verdict is Verdict.CORRUPTED for each in outcomes),
             doubled_orders=sum(count > 1 for count in service.values()),
             false_order_refusals=sum(
                 each.run == "no" and each.status != 428 and each.order in service
@@ -122,7 +122,7 @@
         """Return what must hold in any run, by name."""
         return {
             "no call doubled": self.doubled_orders == 0,
-            "no answer mixed up": self.mixed_up == 0,
+            "no answer mixed up": self.corrupted == 0,
             "none cut by a planned stop": self.cut_by_planned_stop == 0,
             "every refusal true": self.false_refusals == 0
             and self.false_order_refusals == 0
@@ -164,10 +164,12 @@
     figures = []
     for load in sorted(loads.values(), key=lambda each: (each.pool, each.tier)):
         own = [each for each in outcomes if each.arrival.load.id == load.id]
-        whole = [each for each in own if each.verdict is Verdict.WHOLE]
+        whole = [each for each in own if each.verdict is Verdict.COMPLETE]
         firsts = [each.first_token_s for each in whole]
         attained = sum(each.attained for each in own)
-        broken = sum(each.verdict in (Verdict.BROKEN, Verdict.MIXED) for each in own)
+        broken = sum(
+            each.verdict in (Verdict.BROKEN, Verdict.CORRUPTED) for each in own
+        )
         figures.append(
             ClassFigures(
                 load.id,
@@ -192,7 +194,7 @@
     for counts in engine_counts:
         for nonce, when in counts[what].items():
             at[nonce] = min(when, at.get(nonce, when))
-    whole = [each for each in outcomes if each.verdict is Verdict.WHOLE]
+    whole = [each for each in outcomes if each.verdict is Verdict.COMPLETE]
     if what == "received_at":
         pairs = [(each.sent_at, at.get(each.arrival.nonce)) for each in whole]
     else:
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/slopes.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/slopes.py
@@ -271,7 +271,7 @@
             arrival = Arrival(0.0, STREAM_LOAD, "one", f"s{index}", STREAM_TOKENS, 0)
             outcomes.append(Outcome(arrival))
             nursery.start_soon(client._stream, target, arrival, outcomes[-1])
-    whole = sum(each.verdict is Verdict.WHOLE for each in outcomes)
+    whole = sum(each.verdict is Verdict.COMPLETE for each in outcomes)
     if whole != STREAMS:
         raise RuntimeError(f"only {whole} of {STREAMS} streams were whole")
     return _cpu_s(pid) - before, sum(each.tokens for each in outcomes)
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/tests/test_bad_input.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/tests/test_bad_input.py
@@ -88,7 +88,7 @@
             assert found[0] == status, (path, found)
             assert found[1]["error"]["code"] == code
             assert found[1]["error"]["run"] == "no"
-        assert (await run.request(run.entry, "urgent", 4)).verdict is Verdict.WHOLE
+        assert (await run.request(run.entry, "urgent", 4)).verdict is Verdict.COMPLETE
         assert not fleet.service.confirmed
 
     in_memory(body)
@@ -128,7 +128,7 @@
         bad = fleet.engines["m-1"]
         bad.garbage = True
         outcomes = [await run.request(run.entry, "urgent", 4) for _ in range(6)]
-        assert all(each.verdict is Verdict.WHOLE for each in outcomes)
+        assert all(each.verdict is Verdict.COMPLETE for each in outcomes)
 
     in_memory(body)
 
@@ -138,7 +138,7 @@
         for engine in fleet.engines.values():
             engine.leaving = engine.name == "m-1"
         outcomes = [await run.request(run.entry, "urgent", 4) for _ in range(6)]
-        assert all(each.verdict is Verdict.WHOLE for each in outcomes)
+        assert all(each.verdict is Verdict.COMPLETE for each in outcomes)
         assert fleet.engines["m-1"].asked_after_leaving <= 1
 
     in_memory(body)
@@ -203,7 +203,7 @@
             large.sendall(b"GET / HTTP/1.1\r\nx: " + b"y" * 40_000)
             callers: Callers = make_callers(fleet, 2.0, 0.3)
             await callers.run(2.0)
-            assert {o.verdict for o in callers.outcomes} == {Verdict.WHOLE}
+            assert {o.verdict for o in callers.outcomes} == {Verdict.COMPLETE}
             large.settimeout(5)
             answer = await trio.to_thread.run_sync(large.recv, 100)
             assert answer.startswith(b"HTTP/1.1 4")
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/tests/test_live.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/tests/test_live.py
@@ -81,7 +81,7 @@
         report = await report_of(fleet, callers)
         assert all(report.checks().values()), report.table()
         others = [o for o in urgent_outcomes(callers) if o.node != scheduler.id]
-        assert all(o.verdict is Verdict.WHOLE for o in others), report.table()
+        assert all(o.verdict is Verdict.COMPLETE for o in others), report.table()
 
 
 async def test_the_scheduler_is_frozen_and_wakes_under_load(
@@ -100,7 +100,7 @@
         report = await report_of(fleet, callers)
         assert all(report.checks().values()), report.table()
         others = [o for o in urgent_outcomes(callers) if o.node != scheduler.id]
-        assert all(o.verdict is Verdict.WHOLE for o in others), report.table()
+        assert all(o.verdict is Verdict.COMPLETE for o in others), report.table()
         status = await fleet.status(scheduler)
         assert status["freezes"] >= 1
         assert status["state"] == "ready"
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/tests/test_races.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/tests/test_races.py
@@ -85,7 +85,7 @@
             await in_force(fleet, 2)
             status, body = await post(run, "/v1/chat/completions", b"{}")
             assert (status, body["error"]["code"]) == (401, 1004)
-        assert outcome.verdict is Verdict.WHOLE
+        assert outcome.verdict is Verdict.COMPLETE
 
     run_beside_fleet(body)
 
@@ -105,7 +105,7 @@
             await trio.sleep(5)
             run.background_stopped.set()
         assert fleet.engines[leaving].starts == before
-        assert outcome.verdict is Verdict.WHOLE
+        assert outcome.verdict is Verdict.COMPLETE
 
     run_beside_fleet(body)
 
@@ -116,7 +116,7 @@
         records["records"].append({"kind": "class", "schema": 9, "id": "new"})
         fleet.publish(2, records)
         await in_force(fleet, 2)
-        assert (await run.request(run.entry, "urgent", 4)).verdict is Verdict.WHOLE
+        assert (await run.request(run.entry, "urgent", 4)).verdict is Verdict.COMPLETE
         refused = run.entry.node.status()["records"]["refused"]
         assert [code for code, _ in refused] == [5002]
 
@@ -178,7 +178,7 @@
                 status, answer = await post(run, path, text.encode())
                 assert status != 500
                 assert answer["error"]["code"] >= 1001
-        assert outcome.verdict is Verdict.WHOLE
+        assert outcome.verdict is Verdict.COMPLETE
 
     run_beside_fleet(body)
 
@@ -217,7 +217,7 @@
 def test_an_answer_that_is_preempted_over_and_over_is_still_whole():
     async def body(fleet, run):
         async def preempt_all():
-            while outcome.verdict is not Verdict.WHOLE:
+            while outcome.verdict is not Verdict.COMPLETE:
                 for slot in run.entry.node.entry.held.values():
                     slot.preempted = True
                 await trio.sleep(0.03)
@@ -227,7 +227,7 @@
             nursery.start_soon(preempt_all)
             await run.send(run.entry, outcome)
             nursery.cancel_scope.cancel()
-        assert outcome.verdict is Verdict.WHOLE, outcome
+        assert outcome.verdict is Verdict.COMPLETE, outcome
         assert sum(engine.starts for engine in fleet.engines.values()) > 3
 
     run_beside_fleet(body)
@@ -245,6 +245,6 @@
                 lambda: sum(e.generated[nonce] for e in engines) >= 10, poll_s=0.0001
             )
             fleet.crash_engine(next(e.name for e in engines if e.running or e.starts))
-        assert outcome.verdict is Verdict.WHOLE, outcome
+        assert outcome.verdict is Verdict.COMPLETE, outcome
 
     run_beside_fleet(body)
