--- a/packages/buckthornwall-standins/src/buckthornwall_standins/callers.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/callers.py
@@ -19,7 +19,7 @@
 from buckthornwall.upstreams.engine import extract_sse_events
 from buckthornwall.utils import TRANSPORT_ERRORS
 
-from .deployments import ORDER_ROUTE, ClassLoad, Deployment, key_of
+from .deployments import ORDER_ROUTE, ClassLoad, Deployment, make_api_key
 from .engine import EngineModel
 
 __all__ = ["Arrival", "Callers", "Outcome", "Verdict", "plan_arrivals"]
@@ -349,7 +349,7 @@
 
     async def _confirm(self, order: str, key: str | None) -> tuple[int, dict]:
         team = self.fleet.deployment.teams()[0]
-        headers = [("authorization", f"Bearer {key_of(team)}")]
+        headers = [("authorization", f"Bearer {make_api_key(team)}")]
         if key:
             headers.append(("idempotency-key", key))
         response = await self.pool.request(
@@ -364,7 +364,7 @@
 
 def _headers(team: str, class_id: str) -> list[tuple[str, str]]:
     return [
-        ("authorization", f"Bearer {key_of(team)}"),
+        ("authorization", f"Bearer {make_api_key(team)}"),
         ("x-service-class", class_id),
         ("content-type", "application/json"),
     ]
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/cases.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/cases.py
@@ -91,7 +91,7 @@
     await trio.sleep(seconds / 4)
     killed = fleet.nodes[0]
     if fleet.scheduling == SchedulingMode.POOLED.value:
-        killed = await fleet.scheduler_of(next(iter(fleet.deployment.pools)))
+        killed = await fleet.find_scheduler(next(iter(fleet.deployment.pools)))
     fleet.kill(killed)
     frozen = next(node for node in fleet.nodes if node is not killed)
     await trio.sleep(seconds / 8)
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/deployments.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/deployments.py
@@ -14,8 +14,8 @@
     "MANIZALES",
     "ClassLoad",
     "Deployment",
-    "key_of",
-    "records_of",
+    "make_api_key",
+    "make_records",
 ]
 
 ORDER_ROUTE = "orders"
@@ -225,12 +225,12 @@
 )
 
 
-def key_of(team: str) -> str:
+def make_api_key(team: str) -> str:
     """Return the bearer key of a team."""
     return f"key-of-{team}"
 
 
-def records_of(
+def make_records(
     deployment: Deployment,
     number: int,
     upstreams: list[dict[str, Any]],
@@ -289,7 +289,7 @@
 def _team_records(deployment: Deployment) -> Iterator[dict[str, Any]]:
     for team in deployment.teams():
         classes = [load.id for load in deployment.loads if team in dict(load.teams)]
-        key_hash = sha256(key_of(team).encode()).hexdigest()
+        key_hash = sha256(make_api_key(team).encode()).hexdigest()
         yield {
             "kind": "team",
             "schema": 2,
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/faults/cell_run.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/faults/cell_run.py
@@ -8,7 +8,7 @@
 from buckthornwall.utils import TRANSPORT_ERRORS
 
 from buckthornwall_standins.callers import Arrival, Callers, Outcome
-from buckthornwall_standins.deployments import ORDER_ROUTE, ClassLoad, key_of
+from buckthornwall_standins.deployments import ORDER_ROUTE, ClassLoad, make_api_key
 from buckthornwall_standins.memory_fleet import MemoryFleet, MemoryNode
 
 from .kinds import Cell, Guarantee, Step
@@ -34,7 +34,7 @@
         self.cell = cell
         self.callers = Callers(fleet, [], backend=fleet.backend)
         self.callers.started = trio.current_time()
-        self.scheduler = fleet.scheduler_of("m")
+        self.scheduler = fleet.find_scheduler("m")
         others = [node for node in fleet.nodes if node is not self.scheduler]
         self.entry, self.third = others
         self.outcomes: list[Outcome] = []
@@ -109,14 +109,14 @@
         response = await self.callers.pool.request(
             "POST",
             f"http://{node.callers}/idempotency-keys",
-            headers=[("authorization", f"Bearer {key_of('one')}")],
+            headers=[("authorization", f"Bearer {make_api_key('one')}")],
         )
         return msgspec.json.decode(response.content)["idempotency_key"]
 
     async def confirm(self, node: MemoryNode, order: str, key: str) -> tuple[int, str]:
         """Send a confirmation once; return its status and what it says of a run."""
         headers = [
-            ("authorization", f"Bearer {key_of('one')}"),
+            ("authorization", f"Bearer {make_api_key('one')}"),
             ("idempotency-key", key),
         ]
         timeouts = {"connect": 1.0, "read": 15.0}
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/fleet.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/fleet.py
@@ -16,7 +16,7 @@
 import msgspec
 import trio
 
-from .deployments import Deployment, records_of
+from .deployments import Deployment, make_records
 from .engine import EngineModel
 from .listings import make_instance_entry, make_upstream_entry, make_upstream_record
 from .processes import (
@@ -286,7 +286,7 @@
     async def publish(self, records: dict[str, Any] | None = None) -> None:
         """Publish a set of records as the operators do."""
         if records is None:
-            records = records_of(
+            records = make_records(
                 self.deployment, self.number, self.upstream_records(), self.scheduling
             )
         await self.request("POST", self.platform_address, "/control/records", records)
@@ -365,16 +365,16 @@
                 await trio.sleep(0.05)
         return node.process.returncode
 
-    async def scheduler_of(self, pool: str) -> NodeProcess:
+    async def find_scheduler(self, pool: str) -> NodeProcess:
         """Return the instance to which most have left their part of a pool."""
         with trio.fail_after(READY_LIMIT_S):
             while True:
-                votes = await self._votes(pool)
+                votes = await self._count_votes(pool)
                 if votes and votes.most_common(1)[0][1] > len(self.nodes) // 2:
                     return self.node(votes.most_common(1)[0][0])
                 await trio.sleep(0.1)
 
-    async def _votes(self, pool: str) -> Counter[str]:
+    async def _count_votes(self, pool: str) -> Counter[str]:
         votes: Counter[str] = Counter()
         for node in self.nodes:
             if node.process is not None and node.process.poll() is None:
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/memory_fleet.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/memory_fleet.py
@@ -20,7 +20,7 @@
 from buckthornwall.utils import ids
 
 from .asgi import json_app
-from .deployments import ClassLoad, Deployment, records_of
+from .deployments import ClassLoad, Deployment, make_records
 from .engine import Engine, EngineModel
 from .listings import make_instance_entry, make_upstream_entry, make_upstream_record
 from .memory import MemoryNetwork
@@ -291,7 +291,7 @@
 
     def records(self, number: int) -> dict[str, Any]:
         """Return the deployment's records under a number."""
-        return records_of(
+        return make_records(
             self.deployment, number, self.upstream_records(), self.scheduling
         )
 
@@ -361,7 +361,7 @@
             await node.ended.wait()
         self.network.kill(node.host)
 
-    def scheduler_of(self, pool: str) -> MemoryNode:
+    def find_scheduler(self, pool: str) -> MemoryNode:
         """Return the instance that most others leave their part of a pool to."""
         votes: dict[str, int] = {}
         for node in self.alive():
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/tests/test_bad_input.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/tests/test_bad_input.py
@@ -12,7 +12,7 @@
 from websockets.trio.client import connect
 
 from buckthornwall_standins.callers import Callers, Verdict
-from buckthornwall_standins.deployments import key_of
+from buckthornwall_standins.deployments import make_api_key
 from buckthornwall_standins.faults import Cell, CellRun, Fault, Step
 from buckthornwall_standins.fleet import Fleet
 from buckthornwall_standins.memory_fleet import MemoryFleet, make_deterministic
@@ -41,7 +41,7 @@
     response = await run.callers.pool.request(
         "POST",
         f"http://{run.entry.callers}{path}",
-        headers=[("authorization", f"Bearer {key_of(key)}"), *headers],
+        headers=[("authorization", f"Bearer {make_api_key(key)}"), *headers],
         content=content,
     )
     return response.status, msgspec.json.decode(response.content)
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/tests/test_live.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/tests/test_live.py
@@ -10,7 +10,7 @@
 import trio
 
 from buckthornwall_standins.callers import Verdict
-from buckthornwall_standins.deployments import key_of, records_of
+from buckthornwall_standins.deployments import make_api_key, make_records
 from buckthornwall_standins.fleet import Fleet
 from buckthornwall_standins.report import RunReport
 
@@ -41,7 +41,7 @@
     async with Fleet.running(small_deployment) as fleet:
         node = fleet.nodes[0]
         client = openai.OpenAI(
-            base_url=f"http://{node.callers}/v1", api_key=key_of("obra-norte")
+            base_url=f"http://{node.callers}/v1", api_key=make_api_key("obra-norte")
         )
 
         def create(**fields):
@@ -72,7 +72,7 @@
 ):
     async with Fleet.running(small_deployment) as fleet:
         callers = make_callers(fleet, SECONDS, 0.6, orders=4)
-        scheduler = await fleet.scheduler_of(POOL)
+        scheduler = await fleet.find_scheduler(POOL)
 
         async def kill():
             fleet.kill(scheduler)
@@ -89,7 +89,7 @@
 ):
     async with Fleet.running(small_deployment) as fleet:
         callers = make_callers(fleet, SECONDS, 0.6, orders=4)
-        scheduler = await fleet.scheduler_of(POOL)
+        scheduler = await fleet.find_scheduler(POOL)
 
         async def freeze():
             fleet.freeze(scheduler)
@@ -111,7 +111,7 @@
 ):
     async with Fleet.running(small_deployment) as fleet:
         callers = make_callers(fleet, SECONDS, 0.6, orders=4)
-        scheduler = await fleet.scheduler_of(POOL)
+        scheduler = await fleet.find_scheduler(POOL)
         statuses = []
 
         async def stop():
@@ -136,7 +136,7 @@
                 while (await fleet.status(node))["records"]["number"] != 2:
                     await trio.sleep(0.01)
         assert trio.current_time() - started < 14
-        stale = records_of(six, 1, fleet.upstream_records())
+        stale = make_records(six, 1, fleet.upstream_records())
         await fleet.publish(stale)
         await fleet.platform_fault(stale=True)
         late = fleet.nodes[-1]
@@ -174,7 +174,7 @@
     for record in upstreams:
         if record["type"] == "engine":
             record["order"] = {"adapters": {"kit": version}}
-    return records_of(fleet.deployment, number, upstreams)
+    return make_records(fleet.deployment, number, upstreams)
 
 
 async def adapters_are(fleet, version):
