--- a/packages/buckthornwall-standins/src/buckthornwall_standins/callers.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/callers.py
@@ -240,7 +240,7 @@
     async def _follow_list(self, _scope) -> None:
         while True:
             try:
-                page = await self.fleet.read(
+                page = await self.fleet.get_json(
                     self.fleet.platform_address,
                     f"/kv-range?path_prefix={INSTANCES_PREFIX}",
                 )
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/cases.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/cases.py
@@ -67,7 +67,7 @@
 
 async def _slow_engine(fleet: Fleet, seconds: float) -> None:
     await trio.sleep(seconds / 4)
-    await fleet.engine_fault(fleet.engines()[0], slow=SLOW)
+    await fleet.set_engine_fault(fleet.engines()[0], slow=SLOW)
 
 
 async def _crashes(fleet: Fleet, seconds: float) -> None:
@@ -84,7 +84,7 @@
 
 async def _late_reports(fleet: Fleet, seconds: float) -> None:
     for engine in fleet.engines():
-        await fleet.engine_fault(engine, report_lag_s=LATE_S)
+        await fleet.set_engine_fault(engine, report_lag_s=LATE_S)
 
 
 async def _kill_and_freeze(fleet: Fleet, seconds: float) -> None:
@@ -110,12 +110,12 @@
 async def _stale(fleet: Fleet, seconds: float) -> None:
     """Publish, then let the service show the older set again."""
     await trio.sleep(seconds / 4)
-    fleet.number = 2
+    fleet.config_number = 2
     await fleet.publish()
     await trio.sleep(seconds / 8)
-    fleet.number = 1
+    fleet.config_number = 1
     await fleet.publish()
-    await fleet.platform_fault(stale=True)
+    await fleet.set_platform_fault(stale=True)
 
 
 @dataclass(frozen=True)
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/faults/cell_run.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/faults/cell_run.py
@@ -140,7 +140,7 @@
         """Repeat a confirmation through one node after another."""
         nodes = itertools.cycle([self.third, self.scheduler, self.entry])
         for _ in range(MAX_ORDER_ATTEMPTS):
-            node = next(each for each in nodes if each in self.fleet.alive())
+            node = next(each for each in nodes if each in self.fleet.running_nodes())
             status, run = await self.confirm(node, order, key)
             if status == 200 or (status and run == "no"):
                 return
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/faults/checks.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/faults/checks.py
@@ -40,7 +40,7 @@
 
 def _check_counts(run: CellRun) -> None:
     """Compare what the stand-ins counted with what callers were told."""
-    started = run.fleet.started()
+    started = run.fleet.started_nonces()
     confirmed = run.fleet.service.confirmed
     for outcome in run.outcomes:
         if outcome.verdict is Verdict.CORRUPTED:
@@ -61,20 +61,23 @@
 async def _check_records(run: CellRun) -> None:
     """Check that a newer set reaches every instance, and none ever went back."""
     fleet = run.fleet
-    fleet.number += 1
-    fleet.publish(fleet.number)
+    fleet.config_number += 1
+    fleet.publish(fleet.config_number)
     try:
-        await fleet.until(
-            lambda: all(n.node.store.number == fleet.number for n in fleet.alive()),
+        await fleet.wait_until(
+            lambda: all(
+                n.node.store.number == fleet.config_number
+                for n in fleet.running_nodes()
+            ),
             SPREAD_LIMIT_S,
         )
     except trio.TooSlowError:
-        numbers = [node.node.store.number for node in fleet.alive()]
+        numbers = [node.node.store.number for node in fleet.running_nodes()]
         run.record_failure(
-            Guarantee.RECORDS, f"numbers {numbers}, published {fleet.number}"
+            Guarantee.RECORDS, f"numbers {numbers}, published {fleet.config_number}"
         )
     for node in fleet.nodes:
-        shown = [number for number in node.numbers if number]
+        shown = [number for number in node.config_numbers if number]
         if shown != sorted(shown):
             run.record_failure(Guarantee.RECORDS, f"{node.id} went back: {shown}")
         if shown and shown[0] < FIRST_NUMBER:
@@ -91,7 +94,7 @@
             run.record_failure(Guarantee.NO_STARVATION, detail)
 
     async with trio.open_nursery() as nursery:
-        for node in run.fleet.alive():
+        for node in run.fleet.running_nodes():
             for load in run.fleet.deployment.loads:
                 nursery.start_soon(probe, node, load.id)
 
@@ -105,7 +108,7 @@
     await trio.sleep(LEAVING_GRACE_S)
     before = fleet.engines[engine_id].starts
     async with trio.open_nursery() as nursery:
-        for node in fleet.alive():
+        for node in fleet.running_nodes():
             nursery.start_soon(run.request, node, "urgent", BACKGROUND_TOKENS)
             nursery.start_soon(run.request, node, "routine", BACKGROUND_TOKENS)
     after = fleet.engines[engine_id].starts
@@ -115,7 +118,7 @@
 
 async def _check_graceful(run: CellRun) -> None:
     """Check that an instance that stops as planned finishes its answers."""
-    node = run.fleet.alive()[-1]
+    node = run.fleet.running_nodes()[-1]
     async with trio.open_nursery() as nursery:
         outcome = run.new_outcome(node, "urgent", 2 * MAIN_TOKENS)
         nursery.start_soon(run.send, node, outcome)
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/faults/core.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/faults/core.py
@@ -26,7 +26,7 @@
 
 async def _run(cell: Cell, add_defect: Callable[[MemoryFleet], None] | None) -> None:
     fleet = MemoryFleet()
-    fleet.number = FIRST_NUMBER
+    fleet.config_number = FIRST_NUMBER
     async with trio.open_nursery() as fleet.nursery:
         await fleet.start()
         if add_defect is not None:
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/faults/injection.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/faults/injection.py
@@ -67,7 +67,7 @@
 
 def _serve_newest_records(fleet: MemoryFleet) -> None:
     fleet.platform.shows_always = False
-    fleet.publish(fleet.number)
+    fleet.publish(fleet.config_number)
 
 
 async def _restart_killed(fleet: MemoryFleet, node: MemoryNode) -> None:
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/faults/steps.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/faults/steps.py
@@ -29,7 +29,7 @@
         await fill_engines(run, nursery)
     nursery.start_soon(run.run_main)
     reached = _step_condition(run, step)
-    await run.fleet.until(
+    await run.fleet.wait_until(
         lambda: reached() or run.main_ended.is_set(), poll_s=STEP_POLL_S
     )
 
@@ -40,7 +40,7 @@
         nursery.start_soon(run.request, run.third, class_id, FILL_TOKENS)
     slots = sum(engine.model.slots for engine in run.fleet.engines.values())
     engines = run.fleet.engines.values()
-    await run.fleet.until(lambda: sum(len(e.running) for e in engines) == slots)
+    await run.fleet.wait_until(lambda: sum(len(e.running) for e in engines) == slots)
 
 
 def _step_condition(run: CellRun, step: Step) -> Callable[[], bool]:
@@ -70,11 +70,11 @@
     order = f"handed-over-{run.cell.name}"
     run.orders.append(order)
     nursery.start_soon(run.confirm, run.third, order, key)
-    await fleet.until(lambda: fleet.service.confirmed[order] > 0)
+    await fleet.wait_until(lambda: fleet.service.confirmed[order] > 0)
     nursery.start_soon(fleet.stop, run.entry)
     owner = (run.entry.node.node, run.entry.node.incarnation)
     others = [run.third.node.idempotency, run.scheduler.node.idempotency]
-    await fleet.until(
+    await fleet.wait_until(
         lambda: any(owner in other.ledgers for other in others), poll_s=STEP_POLL_S
     )
     nursery.start_soon(run.run_main)
@@ -88,12 +88,12 @@
     platform_host = fleet.platform_address.partition(":")[0]
     for node in (run.entry, run.third):
         fleet.network.cut(node.host, platform_host)
-    fleet.number += 1
-    fleet.publish(fleet.number)
+    fleet.config_number += 1
+    fleet.publish(fleet.config_number)
 
     def holders() -> int:
-        return sum(n.node.store.number == fleet.number for n in fleet.nodes)
+        return sum(n.node.store.number == fleet.config_number for n in fleet.nodes)
 
     wanted = {Step.PUBLISHED: 0, Step.WATCHED: 1, Step.SPREAD: 2, Step.IN_FORCE: 3}
     least = wanted[run.cell.step]
-    await fleet.until(lambda: holders() >= least, poll_s=STEP_POLL_S)
+    await fleet.wait_until(lambda: holders() >= least, poll_s=STEP_POLL_S)
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/fleet.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/fleet.py
@@ -26,15 +26,15 @@
     SETTINGS,
     NodeProcess,
     UpstreamProcess,
-    plan_nodes,
-    plan_upstreams,
+    make_node_processes,
+    make_upstream_processes,
 )
 
 __all__ = ["Fleet", "NodeProcess"]
 
 PLATFORM_PORT = 8070
-READY_LIMIT_S = 30.0
-STOP_LIMIT_S = 30.0
+READY_TIMEOUT_S = 30.0
+STOP_TIMEOUT_S = 30.0
 SECRET = "a-secret-of-the-demonstration"
 FIRST_NETWORK = 10
 LAST_NETWORK = 250
@@ -55,10 +55,10 @@
         Of the entry instances, whose logs go to files in `folder`.
     drain_s
         How long a stopping instance serves on.
-    platform_answers
+    platform_reachable_from
         How many of the instances can reach the platform; all if None. Others
         know their peers from their settings.
-    ignoring_fencing
+    engines_ignoring_fencing
         Engines that ignore the fencing number of an order.
     relayed
         Whether links between instances pass a relay that can cut them.
@@ -71,8 +71,8 @@
         scheduling: str = "pooled",
         log_level: str = "WARNING",
         drain_s: float = 1.5,
-        platform_answers: int | None = None,
-        ignoring_fencing: frozenset[str] = frozenset(),
+        platform_reachable_from: int | None = None,
+        engines_ignoring_fencing: frozenset[str] = frozenset(),
         relayed: bool = False,
     ) -> None:
         self.deployment = deployment
@@ -80,18 +80,18 @@
         self.scheduling = scheduling
         self.log_level = log_level
         self.drain_s = drain_s
-        self.platform_answers = platform_answers
-        self.ignoring_fencing = ignoring_fencing
+        self.platform_reachable_from = platform_reachable_from
+        self.engines_ignoring_fencing = engines_ignoring_fencing
         self.relayed = relayed
         self.relay: subprocess.Popen | None = None
         self.folder = Path(tempfile.mkdtemp(prefix="buckthornwall-"))
         self.network = f"127.{random.randint(FIRST_NETWORK, LAST_NETWORK)}"
         self.platform_address = f"{self.network}.0.1:{PLATFORM_PORT}"
         self.platform: subprocess.Popen | None = None
-        self.number = 1
+        self.config_number = 1
         self.http = httpcore.AsyncConnectionPool(max_keepalive_connections=0)
-        self.nodes = plan_nodes(deployment, self.network)
-        self.upstreams = plan_upstreams(deployment, self.network)
+        self.nodes = make_node_processes(deployment, self.network)
+        self.upstreams = make_upstream_processes(deployment, self.network)
 
     def engines(self) -> list[UpstreamProcess]:
         """Return the engines."""
@@ -154,9 +154,9 @@
             *("--routes", msgspec.json.encode(routes).decode()),
         )
 
-    async def cut(self, away: list[NodeProcess]) -> None:
+    async def cut(self, isolated: list[NodeProcess]) -> None:
         """Cut some instances off from the others; none to heal."""
-        groups = {node.host: 1 for node in away}
+        groups = {node.host: 1 for node in isolated}
         await self.request("POST", self.relay_control, "/control", groups)
 
     def spawn(self, module: str, *arguments: str, log: str = "") -> subprocess.Popen:
@@ -178,7 +178,11 @@
                 "buckthornwall_standins.engine",
                 *("--listen", upstream.address),
                 *("--name", upstream.id, "--model", model),
-                *(["--ignore-fencing"] if upstream.id in self.ignoring_fencing else []),
+                *(
+                    ["--ignore-fencing"]
+                    if upstream.id in self.engines_ignoring_fencing
+                    else []
+                ),
             )
         else:
             upstream.process = self.spawn(
@@ -208,9 +212,9 @@
         )
 
     def _reaches_platform(self, node: NodeProcess) -> bool:
-        if self.platform_answers is None:
+        if self.platform_reachable_from is None:
             return True
-        return self.nodes.index(node) < self.platform_answers
+        return self.nodes.index(node) < self.platform_reachable_from
 
     def _platform_for(self, node: NodeProcess) -> str:
         """Return the platform's address, or one where nothing listens."""
@@ -229,7 +233,7 @@
         await self._wait_for(node.operators, "/readyz")
 
     async def _wait_for(self, address: str, path: str) -> None:
-        with trio.fail_after(READY_LIMIT_S):
+        with trio.fail_after(READY_TIMEOUT_S):
             while True:
                 try:
                     status, _ = await self.request("GET", address, path)
@@ -266,14 +270,14 @@
         )
         return response.status, response.content
 
-    async def read(self, address: str, path: str) -> Any:
+    async def get_json(self, address: str, path: str) -> Any:
         """Return the JSON that a process serves at a path."""
         _, content = await self.request("GET", address, path)
         return msgspec.json.decode(content)
 
     async def status(self, node: NodeProcess) -> dict[str, Any]:
         """Return what an instance says of itself."""
-        return await self.read(node.operators, "/status")
+        return await self.get_json(node.operators, "/status")
 
     def upstream_records(self) -> list[dict[str, Any]]:
         """Return the records of the upstreams."""
@@ -287,7 +291,10 @@
         """Publish a set of records as the operators do."""
         if records is None:
             records = make_records(
-                self.deployment, self.number, self.upstream_records(), self.scheduling
+                self.deployment,
+                self.config_number,
+                self.upstream_records(),
+                self.scheduling,
             )
         await self.request("POST", self.platform_address, "/control/records", records)
 
@@ -307,11 +314,11 @@
             "POST", self.platform_address, "/control/instances", instances
         )
 
-    async def platform_fault(self, **fault: Any) -> None:
+    async def set_platform_fault(self, **fault: Any) -> None:
         """Set a fault of the platform."""
         await self.request("POST", self.platform_address, "/control/fault", fault)
 
-    async def engine_fault(self, upstream: UpstreamProcess, **fault: Any) -> None:
+    async def set_engine_fault(self, upstream: UpstreamProcess, **fault: Any) -> None:
         """Set a fault of an engine."""
         await self.request("POST", upstream.address, "/control", fault)
 
@@ -319,7 +326,7 @@
         """Read every upstream's counts, keeping the last ones of a dead one."""
         for each in self.upstreams:
             try:
-                each.last_counts = await self.read(each.address, "/counts")
+                each.last_counts = await self.get_json(each.address, "/counts")
             except (httpcore.NetworkError, httpcore.TimeoutException):
                 continue
 
@@ -360,14 +367,14 @@
         """Stop an instance as planned; return its exit status."""
         node.stopped = True
         node.process.terminate()
-        with trio.fail_after(STOP_LIMIT_S):
+        with trio.fail_after(STOP_TIMEOUT_S):
             while node.process.poll() is None:
                 await trio.sleep(0.05)
         return node.process.returncode
 
     async def find_scheduler(self, pool: str) -> NodeProcess:
         """Return the instance to which most have left their part of a pool."""
-        with trio.fail_after(READY_LIMIT_S):
+        with trio.fail_after(READY_TIMEOUT_S):
             while True:
                 votes = await self._count_votes(pool)
                 if votes and votes.most_common(1)[0][1] > len(self.nodes) // 2:
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/memory_fleet.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/memory_fleet.py
@@ -29,16 +29,22 @@
 from .platform import Platform
 from .service import OrderService
 
-__all__ = ["SMALL", "MemoryFleet", "MemoryNode", "PausableClock", "make_deterministic"]
+__all__ = [
+    "SMALL_DEPLOYMENT",
+    "MemoryFleet",
+    "MemoryNode",
+    "PausableClock",
+    "make_deterministic",
+]
 
 CALLER_HOST = "10.0.7.1"
 PLATFORM_HOST = "10.0.9.1"
 SERVICE_ADDRESS = "10.0.3.1:90"
 POLL_S = 0.005
-NOTE_S = 0.02
-WAIT_LIMIT_S = 60.0
+RECORD_INTERVAL_S = 0.02
+WAIT_TIMEOUT_S = 60.0
 
-SMALL = Deployment(
+SMALL_DEPLOYMENT = Deployment(
     name="small",
     zones=("north", "south", "west"),
     nodes=3,
@@ -126,7 +132,7 @@
         self.ended = trio.Event()
         self.stopped = False
         self.killed = False
-        self.numbers: list[int] = []
+        self.config_numbers: list[int] = []
 
 
 class MemoryFleet:
@@ -144,7 +150,7 @@
 
     def __init__(
         self,
-        deployment: Deployment = SMALL,
+        deployment: Deployment = SMALL_DEPLOYMENT,
         engine_model: EngineModel | None = None,
         scheduling: str = "pooled",
     ) -> None:
@@ -154,7 +160,7 @@
             slots=deployment.slots, step_ms=20.0
         )
         self.network = MemoryNetwork()
-        self.number = 1
+        self.config_number = 1
         self.platform_address = f"{PLATFORM_HOST}:70"
         self.platform = Platform(0.3, MemoryBackend(self.network, PLATFORM_HOST))
         self.service = OrderService(0.3)
@@ -191,16 +197,16 @@
             for index in range(count):
                 self._start_engine(f"{pool}-{index + 1}")
         self._serve(SERVICE_ADDRESS, json_app(self.service.routes()))
-        self.publish(self.number)
+        self.publish(self.config_number)
         self.publish_instances()
         for node in self.nodes:
             self.start_node(node)
         for node in self.nodes:
-            await self.until(lambda node=node: node.node.is_ready())
-        await self.until(
+            await self.wait_until(lambda node=node: node.node.is_ready())
+        await self.wait_until(
             lambda: all(n.node.entry.share_leases.leases for n in self.nodes)
         )
-        self.nursery.start_soon(self._note_numbers)
+        self.nursery.start_soon(self._record_config_numbers)
 
     def _serve(self, address: str, app: Any) -> None:
         self.network.listen(address, partial(serve_http, app), self.nursery)
@@ -234,7 +240,7 @@
         node.scope = trio.CancelScope()
         node.ended = trio.Event()
         node.killed = node.stopped = False
-        node.numbers = []
+        node.config_numbers = []
         self.nursery.start_soon(self._run_node, node)
 
     async def _run_node(self, node: MemoryNode) -> None:
@@ -254,19 +260,19 @@
                 await trio.sleep(POLL_S)
             nursery.cancel_scope.cancel()
 
-    async def _note_numbers(self) -> None:
+    async def _record_config_numbers(self) -> None:
         """Note every number that each instance serves under."""
         while True:
             for node in self.nodes:
                 if not node.node.is_ready():
                     continue
                 number = node.node.store.number
-                if not node.numbers or node.numbers[-1] != number:
-                    node.numbers.append(number)
-            await trio.sleep(NOTE_S)
+                if not node.config_numbers or node.config_numbers[-1] != number:
+                    node.config_numbers.append(number)
+            await trio.sleep(RECORD_INTERVAL_S)
 
-    async def until(
-        self, condition, limit_s: float = WAIT_LIMIT_S, poll_s: float = POLL_S
+    async def wait_until(
+        self, condition, limit_s: float = WAIT_TIMEOUT_S, poll_s: float = POLL_S
     ) -> None:
         """Wait for a condition; TooSlowError if it does not come."""
         with trio.fail_after(limit_s):
@@ -315,14 +321,14 @@
         self.platform.known = {each["id"]: each for each in known}
         self.platform.publish_list()
 
-    async def read(self, address: str, path: str) -> Any:
+    async def get_json(self, address: str, path: str) -> Any:
         """Return the JSON that a part serves at a path."""
         response = await self.http.request("GET", f"http://{address}{path}")
         return msgspec.json.decode(response.content)
 
     # Disturbances
 
-    def alive(self) -> list[MemoryNode]:
+    def running_nodes(self) -> list[MemoryNode]:
         """Return the instances that run."""
         return [each for each in self.nodes if not (each.killed or each.stopped)]
 
@@ -357,14 +363,14 @@
         """Stop an instance as planned and wait until it has left."""
         node.stopped = True
         node.node.stopping.set()
-        with trio.fail_after(WAIT_LIMIT_S):
+        with trio.fail_after(WAIT_TIMEOUT_S):
             await node.ended.wait()
         self.network.kill(node.host)
 
     def find_scheduler(self, pool: str) -> MemoryNode:
         """Return the instance that most others leave their part of a pool to."""
         votes: dict[str, int] = {}
-        for node in self.alive():
+        for node in self.running_nodes():
             lease = node.node.entry.share_leases.leases.get(pool)
             if lease is not None:
                 votes[lease.scheduler] = votes.get(lease.scheduler, 0) + 1
@@ -381,7 +387,7 @@
         """Return how often the service was called for each order."""
         return self.service.confirmed
 
-    def started(self) -> set[str]:
+    def started_nonces(self) -> set[str]:
         """Return every nonce that any engine began."""
         return {
             nonce for engine in self.engines.values() for nonce in engine.first_index
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/processes.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/processes.py
@@ -13,8 +13,8 @@
     "SETTINGS",
     "NodeProcess",
     "UpstreamProcess",
-    "plan_nodes",
-    "plan_upstreams",
+    "make_node_processes",
+    "make_upstream_processes",
 ]
 
 CALLER_PORT = 8080
@@ -84,7 +84,7 @@
     earlier_counts: list[dict[str, Any]] = field(default_factory=list)
 
 
-def plan_nodes(deployment: Deployment, network: str) -> list[NodeProcess]:
+def make_node_processes(deployment: Deployment, network: str) -> list[NodeProcess]:
     """Return a deployment's instances, on the hosts ``NETWORK.1.N``."""
     zones = deployment.zones
     return [
@@ -97,7 +97,9 @@
     ]
 
 
-def plan_upstreams(deployment: Deployment, network: str) -> list[UpstreamProcess]:
+def make_upstream_processes(
+    deployment: Deployment, network: str
+) -> list[UpstreamProcess]:
     """Return a deployment's engines, on ``NETWORK.2.N``, and its service."""
     planned = []
     for pool, count in deployment.pools.items():
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/tests/test_bad_input.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/tests/test_bad_input.py
@@ -113,7 +113,7 @@
             nursery.start_soon(run.run_main)
             nonce = run.main.arrival.nonce
             engines = fleet.engines.values()
-            await fleet.until(lambda: any(e.generated[nonce] > 5 for e in engines))
+            await fleet.wait_until(lambda: any(e.generated[nonce] > 5 for e in engines))
             run.main_scope.cancel()
             await trio.sleep(0.3)
             assert sum(e.generated[nonce] for e in engines) < 30
@@ -153,7 +153,7 @@
             if each["kind"] != "upstream" or each["type"] != "engine"
         ]
         fleet.publish(9, records)
-        await fleet.until(lambda: run.entry.node.store.number == 9)
+        await fleet.wait_until(lambda: run.entry.node.store.number == 9)
         before = trio.current_time()
         outcome = await run.request(run.entry, "urgent", 4)
         assert (outcome.verdict, outcome.code) == (Verdict.REFUSED, 2003)
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/tests/test_live.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/tests/test_live.py
@@ -127,9 +127,9 @@
 
 async def test_records_reach_all_though_the_platform_answers_one(small_deployment):
     six = replace(small_deployment, nodes=6)
-    async with Fleet.running(six, platform_answers=1) as fleet:
+    async with Fleet.running(six, platform_reachable_from=1) as fleet:
         started = trio.current_time()
-        fleet.number = 2
+        fleet.config_number = 2
         await fleet.publish()
         with trio.fail_after(14):
             for node in fleet.nodes:
@@ -138,7 +138,7 @@
         assert trio.current_time() - started < 14
         stale = make_records(six, 1, fleet.upstream_records())
         await fleet.publish(stale)
-        await fleet.platform_fault(stale=True)
+        await fleet.set_platform_fault(stale=True)
         late = fleet.nodes[-1]
         fleet.kill(late)
         late.process.wait()
@@ -159,10 +159,10 @@
         async def leave():
             await fleet.publish_instances(leaving=(leaving.id,))
             await trio.sleep(3.0)
-            starts.append((await fleet.read(leaving.address, "/counts"))["starts"])
+            starts.append((await fleet.get_json(leaving.address, "/counts"))["starts"])
 
         await run_callers(callers, SECONDS, 2.0, leave)
-        counts = await fleet.read(leaving.address, "/counts")
+        counts = await fleet.get_json(leaving.address, "/counts")
         assert counts["starts"] == starts[0]
         late_arrivals = [o for o in callers.outcomes if o.arrival.at > 5.0]
         assert len(late_arrivals) >= 5
@@ -181,7 +181,7 @@
     with trio.fail_after(10):
         for engine in fleet.engines():
             while True:
-                counts = await fleet.read(engine.address, "/counts")
+                counts = await fleet.get_json(engine.address, "/counts")
                 if counts["adapters"].get("kit") == version:
                     break
                 await trio.sleep(0.05)
@@ -191,7 +191,9 @@
     small_deployment,
 ):
     ignoring = frozenset({f"{POOL}-1", f"{POOL}-2"})
-    async with Fleet.running(small_deployment, ignoring_fencing=ignoring) as fleet:
+    async with Fleet.running(
+        small_deployment, engines_ignoring_fencing=ignoring
+    ) as fleet:
         await fleet.publish(with_order(fleet, 2, "v1"))
         await adapters_are(fleet, "v1")
         for frozen in fleet.nodes[:2]:
@@ -202,7 +204,7 @@
             fleet.thaw(frozen)
         await trio.sleep(4.0)
         for engine in fleet.engines():
-            counts = await fleet.read(engine.address, "/counts")
+            counts = await fleet.get_json(engine.address, "/counts")
             versions = [version for _, version, _ in counts["orders"]]
             assert versions == sorted(versions), (engine.id, counts["orders"])
             assert counts["adapters"] == {"kit": "v2"}
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/tests/test_races.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/tests/test_races.py
@@ -23,8 +23,9 @@
 
 
 async def in_force(fleet, number):
-    await fleet.until(
-        lambda: all(node.node.store.number == number for node in fleet.alive()), 10
+    await fleet.wait_until(
+        lambda: all(node.node.store.number == number for node in fleet.running_nodes()),
+        10,
     )
 
 
@@ -57,16 +58,16 @@
             await fill_engines(run, nursery)
             waiting = run.new_outcome(run.entry, "low", 4)
             nursery.start_soon(run.send, run.entry, waiting)
-            await fleet.until(lambda: run.entry.node.entry.pending)
+            await fleet.wait_until(lambda: run.entry.node.entry.pending)
             await trio.sleep(0.1)
             records = without(fleet.records(2), "class", "low")
             for record in records["records"]:
                 if record["kind"] == "team":
                     record["classes"] = ["urgent", "routine"]
             fleet.publish(2, records)
-            await fleet.until(lambda: waiting.verdict is Verdict.REFUSED, 1.0)
+            await fleet.wait_until(lambda: waiting.verdict is Verdict.REFUSED, 1.0)
         assert (waiting.code, waiting.run) == (2005, "no")
-        assert waiting.arrival.nonce not in fleet.started()
+        assert waiting.arrival.nonce not in fleet.started_nonces()
 
     run_beside_fleet(body)
 
@@ -76,7 +77,7 @@
         async with trio.open_nursery() as nursery:
             outcome = run.new_outcome(run.entry, "urgent", 40)
             nursery.start_soon(run.send, run.entry, outcome)
-            await fleet.until(lambda: outcome.tokens > 5)
+            await fleet.wait_until(lambda: outcome.tokens > 5)
             records = fleet.records(2)
             for record in records["records"]:
                 if record["kind"] == "team":
@@ -97,7 +98,7 @@
             nursery.start_soon(run.run_background_load)
             outcome = run.new_outcome(run.entry, "urgent", 20)
             nursery.start_soon(run.send, run.entry, outcome)
-            await fleet.until(lambda: run.entry.node.entry.held, poll_s=0.0001)
+            await fleet.wait_until(lambda: run.entry.node.entry.held, poll_s=0.0001)
             fleet.leaving.add(leaving)
             fleet.publish_instances()
             await trio.sleep(3)
@@ -239,9 +240,9 @@
         engines = fleet.engines.values()
         async with trio.open_nursery() as nursery:
             nursery.start_soon(run.send, run.entry, outcome)
-            await fleet.until(lambda: outcome.tokens >= 9, poll_s=0.0002)
+            await fleet.wait_until(lambda: outcome.tokens >= 9, poll_s=0.0002)
             nonce = outcome.arrival.nonce
-            await fleet.until(
+            await fleet.wait_until(
                 lambda: sum(e.generated[nonce] for e in engines) >= 10, poll_s=0.0001
             )
             fleet.crash_engine(next(e.name for e in engines if e.running or e.starts))
