--- a/packages/buckthornwall-standins/src/buckthornwall_standins/bare_relay.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/bare_relay.py
@@ -11,7 +11,7 @@
 
 __all__ = ["BareRelay"]
 
-BODY_LIMIT = 2**20
+MAX_BODY_BYTES = 2**20
 
 
 class BareRelay:
@@ -29,7 +29,7 @@
 
     async def relay(self, exchange: Exchange) -> None:
         """Serve one request."""
-        body = await exchange.read_body(BODY_LIMIT, 10)
+        body = await exchange.read_body(MAX_BODY_BYTES, 10)
         url = f"http://{next(self.engines)}{exchange.path}"
         async with self.pool.stream("POST", url, content=body) as response:
             await exchange.start(200, [("content-type", "text/event-stream")])
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/engine.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/engine.py
@@ -21,10 +21,10 @@
 
 __all__ = ["Engine", "EngineModel"]
 
-BODY_LIMIT = 2**21
-PROMPT = re.compile(r"nonce=(\w+) length=(\d+)")
+MAX_BODY_BYTES = 2**21
+PROMPT_PATTERN = re.compile(r"nonce=(\w+) length=(\d+)")
 CHARS_PER_TOKEN = 4
-NEWEST_ORDER = "x-fencing-number"
+FENCING_HEADER = "x-fencing-number"
 
 
 class EngineModel(msgspec.Struct, kw_only=True):
@@ -51,14 +51,14 @@
         self.end = length
         self.priority = priority
         self.ready: list[int] = []
-        self.news = trio.Event()
+        self.token_ready = trio.Event()
         self.cancelled = False
 
     def emit(self) -> None:
         """Generate one token."""
         self.ready.append(self.next_token)
         self.next_token += 1
-        self.news.set()
+        self.token_ready.set()
 
     @property
     def finished(self) -> bool:
@@ -83,21 +83,21 @@
         self.name = name
         self.model = model
         self.fencing = fencing
-        self.slow = 1.0
+        self.slowdown = 1.0
         self.leaving = False
-        self.garbage = False
+        self.sends_garbage = False
         self.waiting: list[tuple[int, int, Sequence, int]] = []
         self.running: list[Sequence] = []
         self.arrivals = 0
         self.work = trio.Event()
         self.prefixes: OrderedDict[int, None] = OrderedDict()
         self.adapters: dict[str, str] = {}
-        self.newest_order = 0
+        self.newest_fencing_number = 0
         self.orders: list[tuple[str, str, int]] = []
         self.generated: Counter[str] = Counter()
-        self.first_index: dict[str, list[tuple[int, int]]] = {}
+        self.token_ranges: dict[str, list[tuple[int, int]]] = {}
         self.load_reports: list[tuple[float, int]] = [(0.0, 0)]
-        self.asked_after_leaving = 0
+        self.requests_while_leaving = 0
         self.prefix_hits = 0
         self.starts = 0
         self.received_at: dict[str, float] = {}
@@ -126,7 +126,7 @@
                 await self.work.wait()
                 continue
             step_s = (self.model.step_ms + len(self.running) * self.model.load_ms) / 1e3
-            await trio.sleep((step_s + prefill_s) * self.slow)
+            await trio.sleep((step_s + prefill_s) * self.slowdown)
             for sequence in self.running:
                 if not sequence.cancelled:
                     sequence.emit()
@@ -147,7 +147,7 @@
             self.running.append(sequence)
         return prefill_s
 
-    def _uncached_tokens(self, body: dict[str, Any], size: int) -> int:
+    def _count_uncached_tokens(self, body: dict[str, Any], size: int) -> int:
         prefix = hash_prefix(body)
         hit = prefix in self.prefixes
         self.prefixes[prefix] = None
@@ -159,21 +159,21 @@
 
     async def complete(self, exchange: Exchange) -> None:
         """Serve a completion as a stream."""
-        raw = await exchange.read_body(BODY_LIMIT, 10)
+        raw = await exchange.read_body(MAX_BODY_BYTES, 10)
         if self.leaving:
-            self.asked_after_leaving += 1
+            self.requests_while_leaving += 1
             await exchange.respond_json({"error": "leaving"}, 503)
             return
         body = msgspec.json.decode(raw)
-        sequence = _sequence_for(body)
+        sequence = _parse_sequence(body)
         if sequence is None:
             await exchange.respond_json({"error": "no nonce in the prompt"}, 400)
             return
         self.starts += 1
         self.received_at.setdefault(sequence.nonce, time.monotonic())
-        self.first_index.setdefault(sequence.nonce, [])
+        self.token_ranges.setdefault(sequence.nonce, [])
         chat = exchange.path.startswith("/v1/chat")
-        prompt_tokens = self._uncached_tokens(body, len(raw))
+        prompt_tokens = self._count_uncached_tokens(body, len(raw))
         self.arrivals += 1
         entry = (sequence.priority, self.arrivals, sequence, prompt_tokens)
         bisect.insort(self.waiting, entry, key=lambda each: each[:2])
@@ -181,14 +181,14 @@
         start = sequence.next_token
         try:
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(_cancel_when_gone, exchange, nursery)
+                nursery.start_soon(_cancel_on_disconnect, exchange, nursery)
                 await self._send_stream(exchange, sequence, chat, body)
                 nursery.cancel_scope.cancel()
         except ClientDisconnected:
             pass
         finally:
             sequence.cancelled = True
-            spans = self.first_index[sequence.nonce]
+            spans = self.token_ranges[sequence.nonce]
             spans.append((start, sequence.next_token))
 
     async def _send_stream(
@@ -197,20 +197,21 @@
         attempt = exchange.headers.get("x-request-id", "none")
         ident = ("chatcmpl-" if chat else "cmpl-") + attempt
         await exchange.start(200, [("content-type", "text/event-stream")])
-        if self.garbage:
+        if self.sends_garbage:
             await exchange.write(b"data: {{{not json\n\n", more=False)
             return
         while True:
             if not sequence.finished or sequence.ready:
-                await sequence.news.wait()
-                sequence.news = trio.Event()
+                await sequence.token_ready.wait()
+                sequence.token_ready = trio.Event()
             tokens, sequence.ready = sequence.ready, []
             done = sequence.finished
             events = [
-                _event(ident, chat, body["model"], sequence, token) for token in tokens
+                _make_token_event(ident, chat, body["model"], sequence, token)
+                for token in tokens
             ]
             if done:
-                events.append(_last_event(ident, chat, body["model"], sequence))
+                events.append(_make_last_event(ident, chat, body["model"], sequence))
                 events.append(b"data: [DONE]\n\n")
             await exchange.write(b"".join(events), more=not done)
             if done:
@@ -240,34 +241,34 @@
 
     async def load_adapter(self, exchange: Exchange) -> None:
         """Take an order, unless its fencing number is old and that matters."""
-        body = msgspec.json.decode(await exchange.read_body(BODY_LIMIT, 10))
-        number = int(exchange.headers.get(NEWEST_ORDER, "0"))
-        if self.fencing and number < self.newest_order:
+        body = msgspec.json.decode(await exchange.read_body(MAX_BODY_BYTES, 10))
+        number = int(exchange.headers.get(FENCING_HEADER, "0"))
+        if self.fencing and number < self.newest_fencing_number:
             await exchange.respond_json({"error": "old fencing number"}, 409)
             return
-        self.newest_order = max(self.newest_order, number)
+        self.newest_fencing_number = max(self.newest_fencing_number, number)
         self.adapters[body["lora_name"]] = body["lora_path"]
         self.orders.append((body["lora_name"], body["lora_path"], number))
         await exchange.respond_json({})
 
     async def control(self, exchange: Exchange) -> None:
         """Set ``slow``, ``leaving``, ``garbage`` or ``report_lag_s``."""
-        body = msgspec.json.decode(await exchange.read_body(BODY_LIMIT, 10))
-        self.slow = body.get("slow", self.slow)
-        self.garbage = body.get("garbage", self.garbage)
+        body = msgspec.json.decode(await exchange.read_body(MAX_BODY_BYTES, 10))
+        self.slowdown = body.get("slow", self.slowdown)
+        self.sends_garbage = body.get("garbage", self.sends_garbage)
         self.model.report_lag_s = body.get("report_lag_s", self.model.report_lag_s)
         self.leaving = body.get("leaving", self.leaving)
         await exchange.respond_json({})
 
     async def counts(self, exchange: Exchange) -> None:
         """Serve what was counted."""
-        await exchange.respond_json(self.counted())
+        await exchange.respond_json(self.get_counts())
 
-    def counted(self) -> dict[str, Any]:
+    def get_counts(self) -> dict[str, Any]:
         """Return what was generated, by nonce, and when it began."""
         return {
             "generated": self.generated,
-            "started": list(self.first_index),
+            "started": list(self.token_ranges),
             "received_at": self.received_at,
             "emitted_at": self.emitted_at,
             "orders": self.orders,
@@ -277,12 +278,12 @@
         }
 
 
-async def _cancel_when_gone(exchange: Exchange, nursery: trio.Nursery) -> None:
+async def _cancel_on_disconnect(exchange: Exchange, nursery: trio.Nursery) -> None:
     await exchange.wait_for_disconnect()
     nursery.cancel_scope.cancel()
 
 
-def _sequence_for(body: dict[str, Any]) -> Sequence | None:
+def _parse_sequence(body: dict[str, Any]) -> Sequence | None:
     messages = body.get("messages")
     if messages is None:
         text = str(body.get("prompt", ""))
@@ -292,7 +293,7 @@
         text = " ".join(str(each.get("content", "")) for each in messages)
         last = messages[-1]
         delivered = last["content"] if last.get("role") == "assistant" else ""
-    match = PROMPT.search(text)
+    match = PROMPT_PATTERN.search(text)
     if match is None:
         return None
     start = len(delivered.split())
@@ -302,17 +303,19 @@
     return Sequence(match.group(1), start, length, body.get("priority", 0))
 
 
-def _event(ident: str, chat: bool, model: str, sequence: Sequence, token: int) -> bytes:
+def _make_token_event(
+    ident: str, chat: bool, model: str, sequence: Sequence, token: int
+) -> bytes:
     text = f"{sequence.nonce}.{token} "
     choice: dict[str, Any] = {"index": 0, "finish_reason": None}
     if chat:
         choice["delta"] = {"content": text}
     else:
         choice["text"] = text
-    return _encode(ident, chat, model, [choice])
+    return _encode_chunk(ident, chat, model, [choice])
 
 
-def _last_event(ident: str, chat: bool, model: str, sequence: Sequence) -> bytes:
+def _make_last_event(ident: str, chat: bool, model: str, sequence: Sequence) -> bytes:
     choice: dict[str, Any] = {"index": 0, "finish_reason": "stop"}
     if chat:
         choice["delta"] = {}
@@ -323,10 +326,12 @@
         "completion_tokens": sequence.end,
         "total_tokens": sequence.end,
     }
-    return _encode(ident, chat, model, [choice], usage)
+    return _encode_chunk(ident, chat, model, [choice], usage)
 
 
-def _encode(ident: str, chat: bool, model: str, choices: list, usage=None) -> bytes:
+def _encode_chunk(
+    ident: str, chat: bool, model: str, choices: list, usage=None
+) -> bytes:
     chunk = {
         "id": ident,
         "object": "chat.completion.chunk" if chat else "text_completion",
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/faults/injection.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/faults/injection.py
@@ -16,7 +16,7 @@
 def _serving_engine(run: CellRun) -> str:
     nonce = run.main.arrival.nonce
     for engine in run.fleet.engines.values():
-        if nonce in engine.first_index:
+        if nonce in engine.token_ranges:
             return engine.name
     return next(iter(run.fleet.engines))
 
@@ -31,8 +31,8 @@
         fleet.crash_engine(engine_id)
         run.undo_actions.append(lambda: fleet.restart_engine(engine_id))
     elif fault is Fault.ENGINE_SLOW:
-        engine.slow = 4.0
-        run.undo_actions.append(lambda: setattr(engine, "slow", 1.0))
+        engine.slowdown = 4.0
+        run.undo_actions.append(lambda: setattr(engine, "slowdown", 1.0))
     elif fault is Fault.LATE_REPORTS:
         for each in fleet.engines.values():
             each.model.report_lag_s = 5.0
@@ -40,7 +40,7 @@
         fleet.platform.down = True
         run.undo_actions.append(lambda: setattr(fleet.platform, "down", False))
     elif fault is Fault.SERVICE_STALE:
-        fleet.platform.shows_always = True
+        fleet.platform.serves_stale_records = True
         fleet.publish(STALE_NUMBER)
         run.undo_actions.append(lambda: _serve_newest_records(fleet))
     elif fault is Fault.LIST_LATE:
@@ -66,7 +66,7 @@
 
 
 def _serve_newest_records(fleet: MemoryFleet) -> None:
-    fleet.platform.shows_always = False
+    fleet.platform.serves_stale_records = False
     fleet.publish(fleet.config_number)
 
 
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/faults/steps.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/faults/steps.py
@@ -55,7 +55,7 @@
         Step.RECEIVED: lambda: node.app.in_flight > 0,
         Step.QUEUED: lambda: any(w.acknowledged for w in node.entry.pending.values()),
         Step.GRANTED: lambda: bool(node.entry.held),
-        Step.OPENED: lambda: any(nonce in engine.first_index for engine in engines),
+        Step.OPENED: lambda: any(nonce in engine.token_ranges for engine in engines),
         Step.FIRST_TOKEN: lambda: generated() >= 1,
         Step.MID_STREAM: lambda: generated() >= MAIN_TOKENS // 2,
         Step.LAST_TOKEN: lambda: generated() >= MAIN_TOKENS,
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/memory_fleet.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/memory_fleet.py
@@ -318,7 +318,7 @@
             )
             for engine_id, host in self.engine_hosts.items()
         ]
-        self.platform.known = {each["id"]: each for each in known}
+        self.platform.instances = {each["id"]: each for each in known}
         self.platform.publish_list()
 
     async def get_json(self, address: str, path: str) -> Any:
@@ -381,7 +381,7 @@
 
     def engine_counts(self) -> list[dict[str, Any]]:
         """Return what every engine counted."""
-        return [engine.counted() for engine in self.engines.values()]
+        return [engine.get_counts() for engine in self.engines.values()]
 
     def service_counts(self) -> dict[str, int]:
         """Return how often the service was called for each order."""
@@ -390,5 +390,5 @@
     def started_nonces(self) -> set[str]:
         """Return every nonce that any engine began."""
         return {
-            nonce for engine in self.engines.values() for nonce in engine.first_index
+            nonce for engine in self.engines.values() for nonce in engine.token_ranges
         }
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/platform.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/platform.py
@@ -20,8 +20,8 @@
 
 __all__ = ["Platform"]
 
-BODY_LIMIT = 2**21
-PROBE_S = 0.25
+MAX_BODY_BYTES = 2**21
+PROBE_INTERVAL_S = 0.25
 PROBE_TIMEOUT_S = 0.5
 
 
@@ -44,10 +44,10 @@
         self.list_lag_s = list_lag_s
         self.backend = backend
         self.store = Store()
-        self.shows_always = False
-        self.known: dict[str, dict[str, Any]] = {}
-        self.states: dict[str, str] = {}
-        self.written: dict[str, dict[str, Any]] = {}
+        self.serves_stale_records = False
+        self.instances: dict[str, dict[str, Any]] = {}
+        self.probed_states: dict[str, str] = {}
+        self.published: dict[str, dict[str, Any]] = {}
         self.down = False
         self.reads = 0
 
@@ -77,7 +77,7 @@
         if self.down:
             await exchange.respond_json({"error": "down"}, 503)
             return
-        if self.shows_always and RECORDS_KEY.startswith(query["path_prefix"]):
+        if self.serves_stale_records and RECORDS_KEY.startswith(query["path_prefix"]):
             page = self.store.range(query | {"after": ""})
             status = 200
             body = {"events": page["items"], "store_revision": page["store_revision"]}
@@ -93,21 +93,21 @@
 
     async def control_records(self, exchange: Exchange) -> None:
         """Publish a set of records."""
-        self.publish(await exchange.read_body(BODY_LIMIT, 10))
+        self.publish(await exchange.read_body(MAX_BODY_BYTES, 10))
         await exchange.respond_json({})
 
     async def control_instances(self, exchange: Exchange) -> None:
         """Replace the instances that the platform runs."""
-        body = await exchange.read_body(BODY_LIMIT, 10)
-        self.known = {each["id"]: each for each in msgspec.json.decode(body)}
+        body = await exchange.read_body(MAX_BODY_BYTES, 10)
+        self.instances = {each["id"]: each for each in msgspec.json.decode(body)}
         self.publish_list()
         await exchange.respond_json({})
 
     async def control_fault(self, exchange: Exchange) -> None:
         """Set ``down``, ``stale`` or ``list_lag_s``."""
-        body = msgspec.json.decode(await exchange.read_body(BODY_LIMIT, 10))
+        body = msgspec.json.decode(await exchange.read_body(MAX_BODY_BYTES, 10))
         self.down = body.get("down", self.down)
-        self.shows_always = body.get("stale", self.shows_always)
+        self.serves_stale_records = body.get("stale", self.serves_stale_records)
         self.list_lag_s = body.get("list_lag_s", self.list_lag_s)
         await exchange.respond_json({})
 
@@ -124,17 +124,17 @@
                 "address": each["address"],
                 "zone": each.get("zone", ""),
                 "leaving": each.get("leaving", False)
-                or self.states.get(each["id"]) == "leaving",
+                or self.probed_states.get(each["id"]) == "leaving",
             }
-            for each in self.known.values()
-            if self.states.get(each["id"]) != "gone"
+            for each in self.instances.values()
+            if self.probed_states.get(each["id"]) != "gone"
         }
         for key, value in listed.items():
-            if self.written.get(key) != value:
+            if self.published.get(key) != value:
                 self.store.put(key, value)
-        for key in self.written.keys() - listed.keys():
+        for key in self.published.keys() - listed.keys():
             self.store.remove(key)
-        self.written = listed
+        self.published = listed
 
     async def probe_forever(self) -> None:
         """Learn late which entry instances are ready, leaving or gone."""
@@ -145,8 +145,8 @@
             trio.open_nursery() as nursery,
         ):
             while True:
-                await trio.sleep(PROBE_S)
-                for each in list(self.known.values()):
+                await trio.sleep(PROBE_INTERVAL_S)
+                for each in list(self.instances.values()):
                     if each.get("health"):
                         nursery.start_soon(self._probe, pool, each)
 
@@ -162,8 +162,8 @@
         except TRANSPORT_ERRORS:
             state = "gone"
         await trio.sleep(self.list_lag_s)
-        if self.states.get(each["id"], "live") != state:
-            self.states[each["id"]] = state
+        if self.probed_states.get(each["id"], "live") != state:
+            self.probed_states[each["id"]] = state
             self.publish_list()
 
 
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/relay.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/relay.py
@@ -16,7 +16,7 @@
 __all__ = ["Relay"]
 
 READ_BYTES = 65536
-BODY_LIMIT = 2**20
+MAX_BODY_BYTES = 2**20
 
 
 class Relay:
@@ -39,7 +39,9 @@
 
     async def control(self, exchange: Exchange) -> None:
         """Put hosts into groups; hosts that are not named are in group 0."""
-        self.group_of = msgspec.json.decode(await exchange.read_body(BODY_LIMIT, 10))
+        self.group_of = msgspec.json.decode(
+            await exchange.read_body(MAX_BODY_BYTES, 10)
+        )
         self.changed.set()
         self.changed = trio.Event()
         await exchange.respond_json({})
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/service.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/service.py
@@ -11,7 +11,7 @@
 
 __all__ = ["OrderService"]
 
-BODY_LIMIT = 2**20
+MAX_BODY_BYTES = 2**20
 
 
 class OrderService:
@@ -37,7 +37,7 @@
 
     async def confirm(self, exchange: Exchange) -> None:
         """Confirm an order; the call counts even if nobody waits for it."""
-        body = msgspec.json.decode(await exchange.read_body(BODY_LIMIT, 10))
+        body = msgspec.json.decode(await exchange.read_body(MAX_BODY_BYTES, 10))
         order = body["order"]
         self.confirmed[order] += 1
         await trio.sleep(self.work_s)
@@ -46,7 +46,7 @@
 
     async def echo(self, exchange: Exchange) -> None:
         """Return the body."""
-        await exchange.respond(200, await exchange.read_body(BODY_LIMIT, 10))
+        await exchange.respond(200, await exchange.read_body(MAX_BODY_BYTES, 10))
 
     async def counts(self, exchange: Exchange) -> None:
         """Serve the number of calls for each order."""
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/tests/test_bad_input.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/tests/test_bad_input.py
@@ -126,7 +126,7 @@
 def test_an_engine_that_answers_garbage_is_left_for_another(in_memory):
     async def body(fleet, run):
         bad = fleet.engines["m-1"]
-        bad.garbage = True
+        bad.sends_garbage = True
         outcomes = [await run.request(run.entry, "urgent", 4) for _ in range(6)]
         assert all(each.verdict is Verdict.COMPLETE for each in outcomes)
 
@@ -139,7 +139,7 @@
             engine.leaving = engine.name == "m-1"
         outcomes = [await run.request(run.entry, "urgent", 4) for _ in range(6)]
         assert all(each.verdict is Verdict.COMPLETE for each in outcomes)
-        assert fleet.engines["m-1"].asked_after_leaving <= 1
+        assert fleet.engines["m-1"].requests_while_leaving <= 1
 
     in_memory(body)
 
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/tests/test_races.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/tests/test_races.py
@@ -44,7 +44,7 @@
         fleet.publish(2)
         fleet.publish(3)
         await in_force(fleet, 3)
-        fleet.platform.shows_always = True
+        fleet.platform.serves_stale_records = True
         fleet.publish(2)
         await trio.sleep(5)
         await in_force(fleet, 3)
