--- a/packages/buckthornwall-standins/src/buckthornwall_standins/bare_relay.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/bare_relay.py
@@ -33,8 +33,8 @@
         url = f"http://{next(self.engines)}{exchange.path}"
         async with self.pool.stream("POST", url, content=body) as response:
             await exchange.start(200, [("content-type", "text/event-stream")])
-            async for part in response.aiter_stream():
-                await exchange.write(part)
+            async for data in response.aiter_stream():
+                await exchange.write(data)
             await exchange.write(b"", more=False)
 
 
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/bench.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/bench.py
@@ -82,8 +82,8 @@
             case.rate(deployment, seconds),
             case.flood(deployment, seconds),
         )
-        way_s = (1.0 + deployment.one_way_ms) / 1000
-        callers = Callers(fleet, arrivals, order_rate=3.0, one_way_s=way_s)
+        way_s = (1.0 + deployment.one_way_delay_ms) / 1000
+        callers = Callers(fleet, arrivals, order_rate=3.0, one_way_delay_s=way_s)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(case.disturb, fleet, seconds)
             await callers.run(seconds)
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/callers.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/callers.py
@@ -25,14 +25,14 @@
 __all__ = ["Arrival", "Callers", "Outcome", "Verdict", "plan_arrivals"]
 
 LENGTH_SIGMA = 0.9
-LONGEST_TOKENS = 400
-SHORTEST_TOKENS = 3
-PLANS = 12
-DONE = b"[DONE]"
-PICK_S = 0.3
-CONNECT_TRIES = 3
-KEYED_TRIES = 4
-READ_LIMIT_S = 20.0
+MAX_TOKENS = 400
+MIN_TOKENS = 3
+PREFIXES_PER_TEAM = 12
+DONE_EVENT = b"[DONE]"
+LIST_POLL_S = 0.3
+MAX_CONNECT_ATTEMPTS = 3
+MAX_CONFIRM_ATTEMPTS = 4
+READ_TIMEOUT_S = 20.0
 
 Rate = Callable[[ClassLoad, float], float]
 
@@ -55,7 +55,7 @@
     team: str
     nonce: str
     length: int
-    plan: int
+    prefix_index: int
 
 
 @dataclass
@@ -104,11 +104,13 @@
     order: str
     status: int = 0
     run: str = ""
-    tries: int = 0
+    attempts: int = 0
     times: int = 0
 
 
-def pool_capacity(deployment: Deployment, pool: str, model: EngineModel) -> float:
+def estimate_pool_capacity(
+    deployment: Deployment, pool: str, model: EngineModel
+) -> float:
     """Return the tokens a second that a pool can generate with full batches."""
     step_s = (model.step_ms + model.slots * model.load_ms) / 1000
     return deployment.pools[pool] * model.slots / step_s
@@ -141,18 +143,22 @@
     arrivals: list[Arrival] = []
     for load in deployment.loads:
         generator = random.Random(f"{seed}/{load.id}")
-        capacity = pool_capacity(deployment, load.pool, model)
+        capacity = estimate_pool_capacity(deployment, load.pool, model)
         mean_tokens = load.median_tokens * math.exp(LENGTH_SIGMA**2 / 2)
-        for team, part in load.teams:
-            base = capacity * load.share * part / mean_tokens
+        for team, fraction in load.teams:
+            base = capacity * load.share * fraction / mean_tokens
             arrivals += _team_arrivals(
-                load, team, seconds, generator, _product(base, rate, flood, load, team)
+                load,
+                team,
+                seconds,
+                generator,
+                _scale_rate(base, rate, flood, load, team),
             )
     arrivals.sort(key=lambda each: each.at)
     return arrivals
 
 
-def _product(base: float, rate: Rate, flood, load: ClassLoad, team: str):
+def _scale_rate(base: float, rate: Rate, flood, load: ClassLoad, team: str):
     return lambda at: base * rate(load, at) * flood(team, at)
 
 
@@ -171,13 +177,13 @@
         at += generator.expovariate(peak)
         if at >= seconds:
             break
-        drawn = generator.random()
+        sampled = generator.random()
         length = load.median_tokens * math.exp(generator.gauss(0, LENGTH_SIGMA))
         nonce = f"{generator.getrandbits(48):012x}"
-        plan = generator.randrange(PLANS)
-        if drawn < rate_at(at) / peak:
-            tokens = int(min(LONGEST_TOKENS, max(SHORTEST_TOKENS, length)))
-            arrivals.append(Arrival(at, load, team, nonce, tokens, plan))
+        prefix_index = generator.randrange(PREFIXES_PER_TEAM)
+        if sampled < rate_at(at) / peak:
+            tokens = int(min(MAX_TOKENS, max(MIN_TOKENS, length)))
+            arrivals.append(Arrival(at, load, team, nonce, tokens, prefix_index))
     return arrivals
 
 
@@ -192,7 +198,7 @@
         The plan.
     order_rate
         Order confirmations a second beside it.
-    one_way_s
+    one_way_delay_s
         Delay that each caller adds on its way to an instance.
     backend
         Network to call through; sockets if None.
@@ -203,13 +209,13 @@
         fleet,
         arrivals: list[Arrival],
         order_rate: float = 0.0,
-        one_way_s: float = 0.001,
+        one_way_delay_s: float = 0.001,
         backend: httpcore.AsyncNetworkBackend | None = None,
     ) -> None:
         self.fleet = fleet
         self.arrivals = arrivals
         self.order_rate = order_rate
-        self.one_way_s = one_way_s
+        self.one_way_delay_s = one_way_delay_s
         self.outcomes: list[Outcome] = []
         self.orders: list[OrderOutcome] = []
         self.started = 0.0
@@ -223,13 +229,13 @@
         """Send everything and wait for the last answer."""
         self.started = trio.current_time()
         async with self.pool, trio.open_nursery() as nursery:
-            nursery.start_soon(self._follow_list, nursery.cancel_scope)
+            nursery.start_soon(self._poll_instances, nursery.cancel_scope)
             async with trio.open_nursery() as requests:
                 requests.start_soon(self._send_orders, requests, seconds)
                 for arrival in self.arrivals:
                     due = self.started + arrival.at
                     await trio.sleep_until(due)
-                    requests.start_soon(self._one, arrival)
+                    requests.start_soon(self._send_arrival, arrival)
             nursery.cancel_scope.cancel()
 
     def pick(self):
@@ -237,7 +243,7 @@
         self.turn += 1
         return self.ready[self.turn % len(self.ready)]
 
-    async def _follow_list(self, _scope) -> None:
+    async def _poll_instances(self, _scope) -> None:
         while True:
             try:
                 page = await self.fleet.get_json(
@@ -253,46 +259,48 @@
                 self.ready = ready or self.ready
             except (httpcore.NetworkError, httpcore.TimeoutException, KeyError):
                 pass
-            await trio.sleep(PICK_S)
+            await trio.sleep(LIST_POLL_S)
 
-    async def _one(self, arrival: Arrival) -> None:
+    async def _send_arrival(self, arrival: Arrival) -> None:
         outcome = Outcome(arrival)
         self.outcomes.append(outcome)
-        await trio.sleep(self.one_way_s)
-        for _ in range(CONNECT_TRIES):
+        await trio.sleep(self.one_way_delay_s)
+        for _ in range(MAX_CONNECT_ATTEMPTS):
             node = self.pick()
             outcome.node = node.id
             try:
-                await self._stream(node, arrival, outcome)
+                await self._stream_completion(node, arrival, outcome)
                 return
             except httpcore.ConnectError:
-                continue  # nothing was sent: a balancer tries the next one
+                continue  # nothing was sent: a balancer attempts the next one
             except TRANSPORT_ERRORS as error:
                 outcome.detail = repr(error)
                 return
 
-    async def _stream(self, node, arrival: Arrival, outcome: Outcome) -> None:
+    async def _stream_completion(
+        self, node, arrival: Arrival, outcome: Outcome
+    ) -> None:
         outcome.sent_at = time.monotonic()
         async with self.pool.stream(
             "POST",
             f"http://{node.callers}/v1/chat/completions",
             headers=_headers(arrival.team, arrival.load.id),
             content=msgspec.json.encode(_body(arrival)),
-            extensions={"timeout": {"connect": 1.0, "read": READ_LIMIT_S}},
+            extensions={"timeout": {"connect": 1.0, "read": READ_TIMEOUT_S}},
         ) as response:
             if response.status != 200:
-                _note_refusal(outcome, await response.aread())
+                _record_refusal(outcome, await response.aread())
                 return
             buffer = bytearray()
-            async for part in response.aiter_stream():
-                buffer += part
+            async for data in response.aiter_stream():
+                buffer += data
                 for event in extract_sse_events(buffer):
-                    self._take_event(event, outcome)
+                    self._process_event(event, outcome)
 
-    def _take_event(self, event: bytes, outcome: Outcome) -> None:
+    def _process_event(self, event: bytes, outcome: Outcome) -> None:
         arrival = outcome.arrival
         now = trio.current_time() - self.started - arrival.at
-        if event == DONE:
+        if event == DONE_EVENT:
             outcome.total_s = now
             whole = outcome.tokens == arrival.length
             if outcome.verdict is not Verdict.CORRUPTED:
@@ -300,7 +308,7 @@
             return
         chunk = msgspec.json.decode(event)
         if "error" in chunk:
-            _note_refusal(outcome, event)
+            _record_refusal(outcome, event)
             outcome.verdict = Verdict.BROKEN
             return
         for choice in chunk["choices"]:
@@ -329,8 +337,8 @@
         outcome = OrderOutcome(order)
         self.orders.append(outcome)
         key = None
-        for _ in range(KEYED_TRIES):
-            outcome.tries += 1
+        for _ in range(MAX_CONFIRM_ATTEMPTS):
+            outcome.attempts += 1
             try:
                 status, body = await self._confirm(order, key)
             except TRANSPORT_ERRORS:
@@ -357,7 +365,7 @@
             f"http://{self.pick().callers}/services/{ORDER_ROUTE}/confirm",
             headers=headers,
             content=msgspec.json.encode({"order": order}),
-            extensions={"timeout": {"connect": 1.0, "read": READ_LIMIT_S}},
+            extensions={"timeout": {"connect": 1.0, "read": READ_TIMEOUT_S}},
         )
         return response.status, msgspec.json.decode(response.content)
 
@@ -371,8 +379,8 @@
 
 
 def _body(arrival: Arrival) -> dict:
-    plan = f"{arrival.team} plan {arrival.plan}. "
-    filler = plan * (arrival.load.prompt_chars // len(plan))
+    prefix = f"{arrival.team} plan {arrival.prefix_index}. "
+    filler = prefix * (arrival.load.prompt_chars // len(prefix))
     question = f"nonce={arrival.nonce} length={arrival.length}"
     return {
         "model": arrival.load.pool,
@@ -384,7 +392,7 @@
     }
 
 
-def _note_refusal(outcome: Outcome, body: bytes) -> None:
+def _record_refusal(outcome: Outcome, body: bytes) -> None:
     outcome.verdict = Verdict.REFUSED
     try:
         error = msgspec.json.decode(body)["error"]
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/deployments.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/deployments.py
@@ -54,7 +54,7 @@
     pools: dict[str, int]
     loads: tuple[ClassLoad, ...]
     slots: int = 4
-    one_way_ms: float = 0.5
+    one_way_delay_ms: float = 0.5
     urgent_reserve: float = 0.05
     service: bool = True
     extra_records: list[dict[str, Any]] = field(default_factory=list)
@@ -69,7 +69,7 @@
     zones=("centro", "chinchina", "villamaria", "neira"),
     nodes=6,
     pools={"kit-assistant": 9, "orders-desk": 4},
-    one_way_ms=0.5,
+    one_way_delay_ms=0.5,
     loads=(
         ClassLoad(
             "foreman",
@@ -149,7 +149,7 @@
     zones=("tacoma", "everett", "olympia"),
     nodes=6,
     pools={"crossing-fault": 5, "fault-desk": 3},
-    one_way_ms=1.5,
+    one_way_delay_ms=1.5,
     loads=(
         ClassLoad(
             "dispatcher",
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/faults/cell_run.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/faults/cell_run.py
@@ -78,7 +78,7 @@
         """Send the request of an outcome and wait for its end."""
         with trio.move_on_after(RESPONSE_TIMEOUT_S):
             try:
-                await self.callers._stream(node, outcome.arrival, outcome)
+                await self.callers._stream_completion(node, outcome.arrival, outcome)
             except TRANSPORT_ERRORS as error:
                 outcome.detail = repr(error)
 
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/slopes.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/slopes.py
@@ -270,7 +270,7 @@
         for index in range(STREAMS):
             arrival = Arrival(0.0, STREAM_LOAD, "one", f"s{index}", STREAM_TOKENS, 0)
             outcomes.append(Outcome(arrival))
-            nursery.start_soon(client._stream, target, arrival, outcomes[-1])
+            nursery.start_soon(client._stream_completion, target, arrival, outcomes[-1])
     whole = sum(each.verdict is Verdict.COMPLETE for each in outcomes)
     if whole != STREAMS:
         raise RuntimeError(f"only {whole} of {STREAMS} streams were whole")
