--- a/packages/buckthornwall-standins/src/buckthornwall_standins/bench.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/bench.py
@@ -16,7 +16,7 @@
 from loguru import logger
 from trio.testing import MockClock
 
-from .bound import bound_tokens
+from .bound import compute_token_bound
 from .callers import Callers, Outcome, plan_arrivals
 from .cases import CASES, Case
 from .deployments import CASCADE, MANIZALES, Deployment
@@ -30,7 +30,7 @@
 
 DEPLOYMENTS = {each.name: each for each in (MANIZALES, CASCADE)}
 POLICIES = ("pooled", "alone")
-COUNTS_S = 1.0
+COUNTS_INTERVAL_S = 1.0
 
 
 @dataclass
@@ -56,8 +56,8 @@
             "goodput": report.goodput,
             "bound_goodput": self.bound_goodput,
             "wasted_share": report.wasted_share,
-            "way_in_ms": report.way_in_ms,
-            "way_out_ms": report.way_out_ms,
+            "way_in_ms": report.inbound_ms,
+            "way_out_ms": report.outbound_ms,
             "refusals": report.refusals,
             "false_refusals": report.false_refusals,
             "checks": report.checks(),
@@ -82,22 +82,26 @@
             case.rate(deployment, seconds),
             case.flood(deployment, seconds),
         )
-        way_s = (1.0 + deployment.one_way_delay_ms) / 1000
-        callers = Callers(fleet, arrivals, order_rate=3.0, one_way_delay_s=way_s)
+        one_way_delay_s = (1.0 + deployment.one_way_delay_ms) / 1000
+        callers = Callers(
+            fleet, arrivals, order_rate=3.0, one_way_delay_s=one_way_delay_s
+        )
         async with trio.open_nursery() as nursery:
             nursery.start_soon(case.disturb, fleet, seconds)
             await callers.run(seconds)
             nursery.cancel_scope.cancel()
         await fleet.collect_counts()
         report = RunReport.from_run(fleet, callers, seconds)
-    return _as_run(case, fleet, policy, seed, report, callers, seconds)
+    return _make_run(case, fleet, policy, seed, report, callers, seconds)
 
 
-def _as_run(
+def _make_run(
     case: Case, fleet, policy: str, seed: int, report, callers, seconds: float
 ) -> Run:
     deployment = fleet.deployment
-    bound = bound_tokens(deployment, fleet.engine_model, callers.arrivals) / seconds
+    bound = (
+        compute_token_bound(deployment, fleet.engine_model, callers.arrivals) / seconds
+    )
     return Run(
         case.name, deployment.name, policy, seed, report, bound, callers.outcomes
     )
@@ -124,7 +128,7 @@
         callers = Callers(fleet, arrivals, backend=fleet.backend)
         await callers.run(seconds)
         report = RunReport.from_run(fleet, callers, seconds)
-    return _as_run(case, fleet, policy, seed, report, callers, seconds)
+    return _make_run(case, fleet, policy, seed, report, callers, seconds)
 
 
 def run_one(options: argparse.Namespace, *what) -> Run:
@@ -136,7 +140,7 @@
     return trio.run(run_case_in_memory, *what, options.seconds, clock=clock)
 
 
-def _spread(values: list[float], form: str) -> str:
+def _format_range(values: list[float], form: str) -> str:
     middle = statistics.median(values)
     if len(values) < 2:
         return form.format(middle)
@@ -155,26 +159,26 @@
     for run in runs:
         groups.setdefault((run.deployment, run.case, run.policy), []).append(run)
     for (deployment, case, policy), group in groups.items():
-        urgent = [_urgent_attainment(run) for run in group]
+        urgent = [_compute_urgent_attainment(run) for run in group]
         goodput = [run.report.goodput for run in group]
-        part = [run.report.goodput / run.bound_goodput for run in group]
+        share = [run.report.goodput / run.bound_goodput for run in group]
         wasted = [run.report.wasted_share for run in group]
         refused = sum(run.report.refusals for run in group)
         false = sum(run.report.false_refusals for run in group)
         lines.append(
-            f"| {deployment} | {case} | {policy} | {_spread(urgent, '{:.1%}')} "
-            f"| {_spread(goodput, '{:.0f}')} | {_spread(part, '{:.0%}')} "
-            f"| {_spread(wasted, '{:.2%}')} | {refused} | {false} |"
+            f"| {deployment} | {case} | {policy} | {_format_range(urgent, '{:.1%}')} "
+            f"| {_format_range(goodput, '{:.0f}')} | {_format_range(share, '{:.0%}')} "
+            f"| {_format_range(wasted, '{:.2%}')} | {refused} | {false} |"
         )
-    return "\n".join([*lines, "", *_ratios(groups)])
+    return "\n".join([*lines, "", *_format_ratios(groups)])
 
 
-def _urgent_attainment(run: Run) -> float:
+def _compute_urgent_attainment(run: Run) -> float:
     urgent = [each for each in run.report.classes if each.tier == 0]
     return sum(e.attained for e in urgent) / max(1, sum(e.asked for e in urgent))
 
 
-def _ratios(groups: dict[tuple[str, str, str], list[Run]]) -> list[str]:
+def _format_ratios(groups: dict[tuple[str, str, str], list[Run]]) -> list[str]:
     """Return goodput of the first policy over the second, seed by seed."""
     lines = ["Goodput pooled / alone, seed by seed:", ""]
     for (deployment, case, policy), group in groups.items():
@@ -187,7 +191,7 @@
             for run in group
             if by_seed.get(run.seed)
         ]
-        lines.append(f"- {deployment} {case}: {_spread(ratios, '{:.2f}')}")
+        lines.append(f"- {deployment} {case}: {_format_range(ratios, '{:.2f}')}")
     return lines
 
 
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/bound.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/bound.py
@@ -7,10 +7,10 @@
 from .deployments import Deployment
 from .engine import EngineModel
 
-__all__ = ["bound_tokens"]
+__all__ = ["compute_token_bound"]
 
 
-def bound_tokens(
+def compute_token_bound(
     deployment: Deployment, model: EngineModel, arrivals: list[Arrival]
 ) -> int:
     """Return the tokens that an all-knowing scheduler serves within target.
@@ -21,7 +21,7 @@
     within it what must start first; what cannot start in time is left out.
     """
     return sum(
-        _pool_tokens(
+        _compute_pool_bound(
             deployment.pools[pool] * model.slots,
             (model.step_ms + model.slots * model.load_ms) / 1000,
             [each for each in arrivals if each.load.pool == pool],
@@ -30,7 +30,7 @@
     )
 
 
-def _pool_tokens(slots: int, step_s: float, arrivals: list[Arrival]) -> int:
+def _compute_pool_bound(slots: int, step_s: float, arrivals: list[Arrival]) -> int:
     order = itertools.count()
     free_at = [0.0] * slots
     waiting: list[tuple[int, float, int, Arrival]] = []
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/cases.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/cases.py
@@ -12,38 +12,38 @@
 
 __all__ = ["CASES", "Case"]
 
-EVEN = 0.7
-BUSY = 0.85
-CALM = 0.5
-STORM = 3.0
-BURST = 10.0
-FLOOD = 20.0
-SLOW = 4.0
-LATE_S = 5.0
+NORMAL_LOAD = 0.7
+HIGH_LOAD = 0.85
+LOW_LOAD = 0.5
+OVERLOAD = 3.0
+BURST_FACTOR = 10.0
+FLOOD_FACTOR = 20.0
+ENGINE_SLOWDOWN = 4.0
+REPORT_LAG_S = 5.0
 FREEZE_S = 5.0
 CUT_S = 6.0
 
 Disturb = Callable[[Fleet, float], Awaitable[None]]
 
 
-async def _nothing(fleet: Fleet, seconds: float) -> None:
+async def _do_nothing(fleet: Fleet, seconds: float) -> None:
     pass
 
 
-def _constant(part: float) -> Callable[[Deployment, float], Rate]:
-    return lambda deployment, seconds: lambda load, at: part
+def _constant(fraction: float) -> Callable[[Deployment, float], Rate]:
+    return lambda deployment, seconds: lambda load, at: fraction
 
 
 def _no_flood(deployment: Deployment, seconds: float):
     return lambda team, at: 1.0
 
 
-def _middle(at: float, seconds: float) -> bool:
+def _is_middle_third(at: float, seconds: float) -> bool:
     return seconds / 3 <= at < 2 * seconds / 3
 
 
 def _storm(deployment: Deployment, seconds: float) -> Rate:
-    return lambda load, at: STORM if _middle(at, seconds) else CALM
+    return lambda load, at: OVERLOAD if _is_middle_third(at, seconds) else LOW_LOAD
 
 
 def _burst(deployment: Deployment, seconds: float) -> Rate:
@@ -51,7 +51,11 @@
     bursting = next(load.id for load in deployment.loads if load.tier)
 
     def rate(load: ClassLoad, at: float) -> float:
-        return CALM * (BURST if load.id == bursting and _middle(at, seconds) else 1.0)
+        return LOW_LOAD * (
+            BURST_FACTOR
+            if load.id == bursting and _is_middle_third(at, seconds)
+            else 1.0
+        )
 
     return rate
 
@@ -62,12 +66,14 @@
         (team for load in deployment.loads if load.tier for team in load.teams),
         key=lambda each: each[1],
     )[0]
-    return lambda team, at: FLOOD if team == flooding and at > seconds / 4 else 1.0
+    return lambda team, at: (
+        FLOOD_FACTOR if team == flooding and at > seconds / 4 else 1.0
+    )
 
 
 async def _slow_engine(fleet: Fleet, seconds: float) -> None:
     await trio.sleep(seconds / 4)
-    await fleet.set_engine_fault(fleet.engines()[0], slow=SLOW)
+    await fleet.set_engine_fault(fleet.engines()[0], slow=ENGINE_SLOWDOWN)
 
 
 async def _crashes(fleet: Fleet, seconds: float) -> None:
@@ -84,7 +90,7 @@
 
 async def _late_reports(fleet: Fleet, seconds: float) -> None:
     for engine in fleet.engines():
-        await fleet.set_engine_fault(engine, report_lag_s=LATE_S)
+        await fleet.set_engine_fault(engine, report_lag_s=REPORT_LAG_S)
 
 
 async def _kill_and_freeze(fleet: Fleet, seconds: float) -> None:
@@ -128,20 +134,20 @@
     name: str
     rate: Callable[[Deployment, float], Rate]
     flood: Callable = _no_flood
-    disturb: Disturb = _nothing
+    disturb: Disturb = _do_nothing
     relayed: bool = False
     engines_fail: bool = False
 
 
 CASES = [
-    Case("even", _constant(EVEN)),
+    Case("even", _constant(NORMAL_LOAD)),
     Case("storm", _storm),
     Case("burst", _burst),
-    Case("flood", _constant(CALM), flood=_flood),
-    Case("slow-engine", _constant(EVEN), disturb=_slow_engine),
-    Case("crashes", _constant(CALM), disturb=_crashes, engines_fail=True),
-    Case("late-reports", _constant(BUSY), disturb=_late_reports),
-    Case("kill-and-freeze", _constant(CALM), disturb=_kill_and_freeze),
-    Case("cut", _constant(EVEN), disturb=_cut, relayed=True),
-    Case("stale-records", _constant(CALM), disturb=_stale),
+    Case("flood", _constant(LOW_LOAD), flood=_flood),
+    Case("slow-engine", _constant(NORMAL_LOAD), disturb=_slow_engine),
+    Case("crashes", _constant(LOW_LOAD), disturb=_crashes, engines_fail=True),
+    Case("late-reports", _constant(HIGH_LOAD), disturb=_late_reports),
+    Case("kill-and-freeze", _constant(LOW_LOAD), disturb=_kill_and_freeze),
+    Case("cut", _constant(NORMAL_LOAD), disturb=_cut, relayed=True),
+    Case("stale-records", _constant(LOW_LOAD), disturb=_stale),
 ]
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/demo.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/demo.py
@@ -16,11 +16,11 @@
 
 SEED = 1
 LOAD = 0.6
-ORDERS_A_SECOND = 5.0
+ORDERS_PER_S = 5.0
 STOP_AT = 0.3
 KILL_AT = 0.5
 CRASH_AT = 0.7
-COUNTS_S = 0.5
+COUNTS_INTERVAL_S = 0.5
 
 
 async def _disturb(fleet: Fleet, seconds: float) -> None:
@@ -28,9 +28,9 @@
     started = trio.current_time()
     stopped, killed = fleet.nodes[0], fleet.nodes[1]
     steps: list[tuple[float, str, Callable[[], Awaitable[object]]]] = [
-        (STOP_AT, f"{stopped.id} is stopped as planned", _stopping(fleet, stopped)),
-        (KILL_AT, f"{killed.id} is killed", _killing(fleet, killed)),
-        (CRASH_AT, "an engine crashes", _killing(fleet, fleet.engines()[2])),
+        (STOP_AT, f"{stopped.id} is stopped as planned", _make_stop(fleet, stopped)),
+        (KILL_AT, f"{killed.id} is killed", _make_kill(fleet, killed)),
+        (CRASH_AT, "an engine crashes", _make_kill(fleet, fleet.engines()[2])),
     ]
     async with trio.open_nursery() as nursery:
         for part, words, action in steps:
@@ -39,7 +39,7 @@
             nursery.start_soon(action)
 
 
-def _stopping(fleet: Fleet, node) -> Callable[[], Awaitable[object]]:
+def _make_stop(fleet: Fleet, node) -> Callable[[], Awaitable[object]]:
     async def stop() -> None:
         status = await fleet.stop(node)
         tqdm.write(f"         {node.id} has left with status {status}")
@@ -47,7 +47,7 @@
     return stop
 
 
-def _killing(fleet: Fleet, what) -> Callable[[], Awaitable[object]]:
+def _make_kill(fleet: Fleet, what) -> Callable[[], Awaitable[object]]:
     async def kill() -> None:
         fleet.kill(what)
 
@@ -57,7 +57,7 @@
 async def _collect_forever(fleet: Fleet) -> None:
     """Keep the counts of engines that may crash."""
     while True:
-        await trio.sleep(COUNTS_S)
+        await trio.sleep(COUNTS_INTERVAL_S)
         await fleet.collect_counts()
 
 
@@ -75,7 +75,7 @@
         arrivals = plan_arrivals(
             MANIZALES, fleet.engine_model, seconds, SEED, lambda load, at: LOAD
         )
-        callers = Callers(fleet, arrivals, ORDERS_A_SECOND)
+        callers = Callers(fleet, arrivals, ORDERS_PER_S)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(_collect_forever, fleet)
             async with trio.open_nursery() as load:
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/line_cost.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/line_cost.py
@@ -16,10 +16,10 @@
 ROUNDS = 5
 LINES = 5_000
 UNBOUNDED = 1e9
-LINES_A_REQUEST = 2  # placed and finished
+LINES_PER_REQUEST = 2  # placed and finished
 
 
-def _line() -> None:
+def _log_request_placed() -> None:
     log_event(
         "request_placed",
         request="0123456789abcdef",
@@ -36,12 +36,12 @@
     )
 
 
-def _least_us() -> float:
+def _measure_min_us() -> float:
     rounds = []
     for _ in range(ROUNDS):
         started = time.perf_counter()
         for _ in range(LINES):
-            _line()
+            _log_request_placed()
         rounds.append((time.perf_counter() - started) / LINES * 1e6)
     return min(rounds)
 
@@ -51,18 +51,18 @@
     with open(os.devnull, "w", encoding="utf-8") as sink:
         logger.remove()
         logger.add(sink, format="time={time} level={level} {message}")
-        plain_us = _least_us()
+        plain_us = _measure_min_us()
         logs.STDOUT = sink.fileno()
         configure_logs(
             TelemetrySettings(lines_per_s=UNBOUNDED, lines_burst=UNBOUNDED), "n1"
         )
-        bounded_us = _least_us()
+        bounded_us = _measure_min_us()
         configure_logs(TelemetrySettings(lines_per_s=1.0, lines_burst=1.0), "n1")
-        left_out_us = _least_us()
+        left_out_us = _measure_min_us()
         logger.remove()
     print(f"a plain line {plain_us:.0f} us")
     print(f"a bounded line {bounded_us:.0f} us, ratio {bounded_us / plain_us:.2f}")
-    print(f"a request's lines {LINES_A_REQUEST * bounded_us:.0f} us")
+    print(f"a request's lines {LINES_PER_REQUEST * bounded_us:.0f} us")
     print(f"a line left out {left_out_us:.1f} us")
     return 0
 
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/plots.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/plots.py
@@ -13,7 +13,9 @@
 BUCKET_S = 2.0
 
 
-def _series(outcomes, class_id: str) -> tuple[list[float], list[float]]:
+def _compute_attainment_series(
+    outcomes, class_id: str
+) -> tuple[list[float], list[float]]:
     """Return times and the share attained of what came in each bucket."""
     buckets: dict[int, list[bool]] = {}
     for outcome in outcomes:
@@ -40,7 +42,7 @@
             }
         )
         for _, tier, class_id in classes:
-            times, shares = _series(outcomes, class_id)
+            times, shares = _compute_attainment_series(outcomes, class_id)
             axis.plot(times, shares, label=f"{class_id} (tier {tier})")
         axis.set_title(policy)
         axis.set_xlabel("seconds")
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/report.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/report.py
@@ -8,12 +8,12 @@
 __all__ = ["ClassFigures", "RunReport", "quantile"]
 
 
-def quantile(values: list[float], part: float) -> float:
-    """Return the value below which `part` of the values lie; 0 for none."""
+def quantile(values: list[float], fraction: float) -> float:
+    """Return the value below which `fraction` of the values lie; 0 for none."""
     if not values:
         return 0.0
     ordered = sorted(values)
-    return ordered[min(len(ordered) - 1, int(part * len(ordered)))]
+    return ordered[min(len(ordered) - 1, int(fraction * len(ordered)))]
 
 
 @dataclass
@@ -51,13 +51,13 @@
     doubled_orders: int
     false_order_refusals: int
     lost_confirmations: int
-    cut_by_planned_stop: int
+    broken_by_planned_stop: int
     broken_elsewhere: int
     orders: int
     codes: dict[int, int] = field(default_factory=dict)
     prefix_hit_share: float = 0.0
-    way_in_ms: tuple[float, float] = (0.0, 0.0)
-    way_out_ms: tuple[float, float] = (0.0, 0.0)
+    inbound_ms: tuple[float, float] = (0.0, 0.0)
+    outbound_ms: tuple[float, float] = (0.0, 0.0)
 
     @classmethod
     def from_run(cls, fleet, callers: Callers, seconds: float) -> "RunReport":
@@ -66,7 +66,7 @@
         engine_counts = fleet.engine_counts()
         started = {nonce for counts in engine_counts for nonce in counts["started"]}
         service = fleet.service_counts()
-        unrun = [
+        refused_unrun = [
             each
             for each in outcomes
             if each.verdict is Verdict.REFUSED and each.run == "no"
@@ -86,7 +86,7 @@
             ),
             seconds=seconds,
             refusals=sum(each.verdict is Verdict.REFUSED for each in outcomes),
-            false_refusals=sum(each.arrival.nonce in started for each in unrun),
+            false_refusals=sum(each.arrival.nonce in started for each in refused_unrun),
             corrupted=sum(each.verdict is Verdict.CORRUPTED for each in outcomes),
             doubled_orders=sum(count > 1 for count in service.values()),
             false_order_refusals=sum(
@@ -97,13 +97,13 @@
                 each.status == 200 and each.order not in service
                 for each in callers.orders
             ),
-            cut_by_planned_stop=sum(each.node in stopped for each in broken),
+            broken_by_planned_stop=sum(each.node in stopped for each in broken),
             broken_elsewhere=sum(each.node not in stopped for each in broken),
             orders=len(callers.orders),
             codes=dict(Counter(each.code for each in outcomes if each.code)),
             prefix_hit_share=hits / starts if starts else 0.0,
-            way_in_ms=_delays(engine_counts, outcomes, "received_at"),
-            way_out_ms=_delays(engine_counts, outcomes, "emitted_at"),
+            inbound_ms=_delays(engine_counts, outcomes, "received_at"),
+            outbound_ms=_delays(engine_counts, outcomes, "emitted_at"),
         )
 
     @property
@@ -123,7 +123,7 @@
         return {
             "no call doubled": self.doubled_orders == 0,
             "no answer mixed up": self.corrupted == 0,
-            "none cut by a planned stop": self.cut_by_planned_stop == 0,
+            "none cut by a planned stop": self.broken_by_planned_stop == 0,
             "every refusal true": self.false_refusals == 0
             and self.false_order_refusals == 0
             and self.lost_confirmations == 0,
@@ -151,8 +151,8 @@
             f"{self.generated_tokens} tokens generated; "
             f"prefix hits {self.prefix_hit_share:.0%}.",
             f"Router's own delay p50 / p99: to the engine, waits included, "
-            f"{self.way_in_ms[0]:.1f} / {self.way_in_ms[1]:.1f} ms; first token back "
-            f"{self.way_out_ms[0]:.1f} / {self.way_out_ms[1]:.1f} ms.",
+            f"{self.inbound_ms[0]:.1f} / {self.inbound_ms[1]:.1f} ms; first token back "
+            f"{self.outbound_ms[0]:.1f} / {self.outbound_ms[1]:.1f} ms.",
             f"Orders {self.orders}; refusals {self.refusals} "
             f"(by code: {codes or 'none'}); broken elsewhere {self.broken_elsewhere}.",
         ]
@@ -163,21 +163,21 @@
     loads = {each.arrival.load.id: each.arrival.load for each in outcomes}
     figures = []
     for load in sorted(loads.values(), key=lambda each: (each.pool, each.tier)):
-        own = [each for each in outcomes if each.arrival.load.id == load.id]
-        whole = [each for each in own if each.verdict is Verdict.COMPLETE]
-        firsts = [each.first_token_s for each in whole]
-        attained = sum(each.attained for each in own)
+        of_class = [each for each in outcomes if each.arrival.load.id == load.id]
+        complete = [each for each in of_class if each.verdict is Verdict.COMPLETE]
+        firsts = [each.first_token_s for each in complete]
+        attained = sum(each.attained for each in of_class)
         broken = sum(
-            each.verdict in (Verdict.BROKEN, Verdict.CORRUPTED) for each in own
+            each.verdict in (Verdict.BROKEN, Verdict.CORRUPTED) for each in of_class
         )
         figures.append(
             ClassFigures(
                 load.id,
                 load.tier,
-                asked=len(own),
+                asked=len(of_class),
                 attained=attained,
-                late=len(whole) - attained,
-                refused=sum(each.verdict is Verdict.REFUSED for each in own),
+                late=len(complete) - attained,
+                refused=sum(each.verdict is Verdict.REFUSED for each in of_class),
                 broken=broken,
                 first_token_p50_s=quantile(firsts, 0.5),
                 first_token_p99_s=quantile(firsts, 0.99),
@@ -194,11 +194,11 @@
     for counts in engine_counts:
         for nonce, when in counts[what].items():
             at[nonce] = min(when, at.get(nonce, when))
-    whole = [each for each in outcomes if each.verdict is Verdict.COMPLETE]
+    complete = [each for each in outcomes if each.verdict is Verdict.COMPLETE]
     if what == "received_at":
-        pairs = [(each.sent_at, at.get(each.arrival.nonce)) for each in whole]
+        pairs = [(each.sent_at, at.get(each.arrival.nonce)) for each in complete]
     else:
-        pairs = [(at.get(each.arrival.nonce), each.first_token_at) for each in whole]
+        pairs = [(at.get(each.arrival.nonce), each.first_token_at) for each in complete]
     delays = [
         1000 * (after - before)
         for before, after in pairs
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/slopes.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/slopes.py
@@ -51,7 +51,7 @@
 SLOTS = 4
 
 
-def synthetic_records(engines: int, teams: int) -> bytes:
+def make_synthetic_records(engines: int, teams: int) -> bytes:
     """Return a set with so many engines and teams, two classes and one model."""
     targets = {"first_token_s": 3000.0, "inter_token_s": 1.0, "total_s": 9000.0}
     records: list[dict[str, Any]] = [
@@ -84,23 +84,23 @@
     return msgspec.json.encode({"number": 1, "records": records})
 
 
-def _message(number: int, teams: int) -> Enqueue:
+def _make_enqueue(number: int, teams: int) -> Enqueue:
     team = f"team-{number % teams}"
     return Enqueue(number, "m", "routine", team, 100, number % 50, 1e6, sent_at=0.0)
 
 
-def decision_us(engines: int, waiting: int, teams: int = 10) -> float:
+def measure_decision_us(engines: int, waiting: int, teams: int = 10) -> float:
     """Return microseconds of one release, its decision, and a new request.
 
     The pool is full and `waiting` requests wait throughout; the best of a few
     rounds is taken, since others use the machine too.
     """
-    view = parse_records(synthetic_records(engines, teams))
+    view = parse_records(make_synthetic_records(engines, teams))
     scheduler = PoolScheduler.from_config("m", view, lambda engine, now: False)
     grants = []
     number = 0
     for _ in range(engines * SLOTS + waiting):
-        scheduler.enqueue("n", _message(number, teams), 0.0)
+        scheduler.enqueue("n", _make_enqueue(number, teams), 0.0)
         number += 1
     for each in scheduler.decide(0.0):
         if isinstance(each, GrantDecision):
@@ -112,7 +112,7 @@
             now = (round_ * CYCLES + cycle) * 1e-3
             done = Release(grants.pop(0), ReleaseKind.DONE, 100, 0.1, 0.02)
             scheduler.release(done, now)
-            scheduler.enqueue("n", _message(number, teams), now)
+            scheduler.enqueue("n", _make_enqueue(number, teams), now)
             number += 1
             grants += [each.grant for each in scheduler.decide(now)]
         best = min(best, (time.perf_counter() - started) / CYCLES * US)
@@ -123,13 +123,13 @@
     """Return the table of decision times."""
     lines = ["| engines | waiting | decision us |", "|---|---|---|"]
     for waiting in QUEUES:
-        lines.append(f"| 16 | {waiting} | {decision_us(16, waiting):.0f} |")
+        lines.append(f"| 16 | {waiting} | {measure_decision_us(16, waiting):.0f} |")
     for engines in ENGINES:
-        lines.append(f"| {engines} | 100 | {decision_us(engines, 100):.0f} |")
+        lines.append(f"| {engines} | 100 | {measure_decision_us(engines, 100):.0f} |")
     return lines
 
 
-def _memory_of(make: Callable[[], Any]) -> tuple[float, float]:
+def _measure_memory(make: Callable[[], Any]) -> tuple[float, float]:
     """Return megabytes kept by what `make` returns, and milliseconds to make it."""
     make()
     gc.collect()
@@ -152,7 +152,7 @@
     ]
     pairs = [(n, 10) for n in ENGINES] + [(10, n) for n in TEAMS[1:]] + [(1000, 1000)]
     for engines, teams in pairs:
-        raw = synthetic_records(engines, teams)
+        raw = make_synthetic_records(engines, teams)
         view = parse_records(raw)
 
         def make_view(raw=raw):
@@ -161,8 +161,8 @@
         def make_scheduler(view=view):
             return PoolScheduler.from_config("m", view, lambda engine, now: False)
 
-        records_mb, parse_ms = _memory_of(make_view)
-        scheduler_mb, _ = _memory_of(make_scheduler)
+        records_mb, parse_ms = _measure_memory(make_view)
+        scheduler_mb, _ = _measure_memory(make_scheduler)
         lines.append(
             f"| {engines} | {teams} | {len(raw) / 1024:.0f} | {records_mb:.2f} "
             f"| {parse_ms:.1f} | {scheduler_mb:.2f} |"
@@ -170,27 +170,29 @@
     return lines
 
 
-def _cpu_s(pid: int) -> float:
+def _read_cpu_s(pid: int) -> float:
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / CLOCK_TICKS
 
 
-def _resident_mb(pid: int) -> float:
+def _read_resident_mb(pid: int) -> float:
     for line in Path(f"/proc/{pid}/status").read_text().splitlines():
         if line.startswith("VmRSS:"):
             return int(line.split()[1]) / 1024
     return 0.0
 
 
-async def _idle_fleet(nodes: int) -> str:
+async def _measure_idle_fleet(nodes: int) -> str:
     deployment = replace(MANIZALES, nodes=nodes, pools={"kit-assistant": 2}, loads=())
     async with Fleet.running(deployment, log_level="ERROR") as fleet:
         await trio.sleep(SETTLE_S)
 
-        before = await _totals(fleet)
+        before = await _read_totals(fleet)
         await trio.sleep(IDLE_S)
-        after = await _totals(fleet)
-        memory = sum(_resident_mb(node.process.pid) for node in fleet.nodes) / nodes
+        after = await _read_totals(fleet)
+        memory = (
+            sum(_read_resident_mb(node.process.pid) for node in fleet.nodes) / nodes
+        )
     cpu, sent, messages = (
         (new - old) / IDLE_S / nodes for old, new in zip(before, after, strict=True)
     )
@@ -206,43 +208,43 @@
         "|---|---|---|---|---|",
     ]
     for nodes in FLEETS:
-        lines.append(trio.run(_idle_fleet, nodes))
+        lines.append(trio.run(_measure_idle_fleet, nodes))
         print(lines[-1], file=sys.stderr, flush=True)
     return lines
 
 
-async def _totals(fleet: Fleet) -> tuple[float, int, int]:
+async def _read_totals(fleet: Fleet) -> tuple[float, int, int]:
     """Return processor time, bytes and messages of all instances so far."""
     statuses = [await fleet.status(node) for node in fleet.nodes]
-    cpu = sum(_cpu_s(node.process.pid) for node in fleet.nodes)
+    cpu = sum(_read_cpu_s(node.process.pid) for node in fleet.nodes)
     sent = sum(each["links"]["bytes_sent"] for each in statuses)
     messages = sum(each["links"]["messages_sent"] for each in statuses)
     return cpu, sent, messages
 
 
-async def _control_costs(part: float) -> str:
+async def _measure_control(fraction: float) -> str:
     """Run a load; return what the links carried for each request."""
     deployment = replace(MANIZALES, service=False)
     async with Fleet.running(deployment, log_level="ERROR") as fleet:
         await trio.sleep(SETTLE_S)
-        idle = await _totals(fleet)
+        idle = await _read_totals(fleet)
         await trio.sleep(IDLE_S)
-        before = await _totals(fleet)
+        before = await _read_totals(fleet)
         arrivals = plan_arrivals(
-            deployment, fleet.engine_model, LOAD_S, 1, lambda load, at: part
+            deployment, fleet.engine_model, LOAD_S, 1, lambda load, at: fraction
         )
         started = trio.current_time()
         callers = Callers(fleet, arrivals)
         await callers.run(LOAD_S)
         took_s = trio.current_time() - started
-        after = await _totals(fleet)
+        after = await _read_totals(fleet)
     idle_bytes, idle_messages = (
         (new - old) / IDLE_S for old, new in zip(idle[1:], before[1:], strict=True)
     )
     sent = after[1] - before[1] - idle_bytes * took_s
     messages = after[2] - before[2] - idle_messages * took_s
     count = len(arrivals)
-    return f"| {part:.0%} | {count} | {messages / count:.1f} | {sent / count:.0f} |"
+    return f"| {fraction:.0%} | {count} | {messages / count:.1f} | {sent / count:.0f} |"
 
 
 def measure_control() -> list[str]:
@@ -251,7 +253,7 @@
         "| load | requests | messages a request | bytes a request |",
         "|---|---|---|---|",
     ]
-    return lines + [trio.run(_control_costs, part) for part in (0.4, 0.8)]
+    return lines + [trio.run(_measure_control, fraction) for fraction in (0.4, 0.8)]
 
 
 STREAM_LOAD = ClassLoad(
@@ -259,13 +261,13 @@
 )
 
 
-async def _streams(fleet: Fleet, callers: str, pid: int) -> tuple[float, int]:
+async def _run_streams(fleet: Fleet, callers: str, pid: int) -> tuple[float, int]:
     """Run the streams through an address; return its processor time and tokens."""
     client = Callers(fleet, [])
     client.started = trio.current_time()
     target = type("Target", (), {"callers": callers})
     outcomes = []
-    before = _cpu_s(pid)
+    before = _read_cpu_s(pid)
     async with client.pool, trio.open_nursery() as nursery:
         for index in range(STREAMS):
             arrival = Arrival(0.0, STREAM_LOAD, "one", f"s{index}", STREAM_TOKENS, 0)
@@ -274,10 +276,10 @@
     whole = sum(each.verdict is Verdict.COMPLETE for each in outcomes)
     if whole != STREAMS:
         raise RuntimeError(f"only {whole} of {STREAMS} streams were whole")
-    return _cpu_s(pid) - before, sum(each.tokens for each in outcomes)
+    return _read_cpu_s(pid) - before, sum(each.tokens for each in outcomes)
 
 
-async def _relay_costs(step_ms: float) -> str:
+async def _measure_relay(step_ms: float) -> str:
     engines = 4
     model = EngineModel(slots=STREAMS // engines, step_ms=step_ms, load_ms=0.0)
     deployment = replace(
@@ -297,8 +299,8 @@
         bare = fleet.spawn(module, "--listen", bare_address, "--engines", *addresses)
         try:
             await _wait_listening(fleet, bare_address)
-            bare_cpu, bare_tokens = await _streams(fleet, bare_address, bare.pid)
-            cpu, tokens = await _streams(fleet, node.callers, node.process.pid)
+            bare_cpu, bare_tokens = await _run_streams(fleet, bare_address, bare.pid)
+            cpu, tokens = await _run_streams(fleet, node.callers, node.process.pid)
         finally:
             bare.kill()
             bare.wait()
@@ -323,7 +325,7 @@
         "| ms between tokens | us of a core a chunk | bare relay | ratio |",
         "|---|---|---|---|",
     ]
-    lines += [trio.run(_relay_costs, step_ms) for step_ms in (40.0, 25.0, 8.0)]
+    lines += [trio.run(_measure_relay, step_ms) for step_ms in (40.0, 25.0, 8.0)]
     return lines
 
 
