--- a/packages/buckthornwall-standins/src/buckthornwall_standins/model/at_most_once.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/model/at_most_once.py
@@ -11,13 +11,13 @@
 
 from minicheck import Protocol
 
-from .tuples import put
+from .tuples import replace_item
 
 __all__ = ["LedgerState", "Variant", "specification"]
 
 NODES = 3
-MOST_INCARNATIONS = 2
-MOST_RUNS = 2
+MAX_INCARNATIONS = 2
+MAX_RUNS = 2
 
 
 class LedgerState(Enum):
@@ -65,13 +65,13 @@
 FIELDS = tuple(State.__dataclass_fields__)
 
 
-def _as_tuple(state: State) -> tuple:
+def _to_tuple(state: State) -> tuple:
     return tuple(getattr(state, name) for name in FIELDS)
 
 
-def _ledger(state: State, node: int, value: LedgerState, **changes) -> State:
+def _replace_ledger(state: State, node: int, value: LedgerState, **changes) -> State:
     fields = {name: getattr(state, name) for name in FIELDS}
-    fields["ledgers"] = put(state.ledgers, node, value)
+    fields["ledgers"] = replace_item(state.ledgers, node, value)
     fields.update(changes)
     return State(**fields)
 
@@ -84,30 +84,30 @@
     if held is LedgerState.UNUSED and not state.sealed[node]:
         if variant is Variant.MARK_AFTER_SENDING:
             sending = state.sending | {node}
-            runs = min(MOST_RUNS, state.runs + 1)
-            sent = _ledger(state, node, held, runs=runs, sending=sending)
+            runs = min(MAX_RUNS, state.runs + 1)
+            sent = _replace_ledger(state, node, held, runs=runs, sending=sending)
             steps.append((f"{name} sends", sent))
         else:
-            marked = _ledger(state, node, LedgerState.MARKED)
+            marked = _replace_ledger(state, node, LedgerState.MARKED)
             steps.append((f"{name} marks", marked))
     if node in state.sending:
         sending = state.sending - {node}
-        marked = _ledger(state, node, LedgerState.SENT, sending=sending)
+        marked = _replace_ledger(state, node, LedgerState.SENT, sending=sending)
         steps.append((f"{name} marks late", marked))
     if held is LedgerState.MARKED:
-        runs = min(MOST_RUNS, state.runs + 1)
+        runs = min(MAX_RUNS, state.runs + 1)
         steps.append(
-            (f"{name} sends", _ledger(state, node, LedgerState.SENT, runs=runs))
+            (f"{name} sends", _replace_ledger(state, node, LedgerState.SENT, runs=runs))
         )
         keeps = variant is Variant.SAY_NOT_RUN_WITHOUT_VOIDING
         after = LedgerState.UNUSED if keeps else LedgerState.VOID
-        refused = _ledger(state, node, after, told_not_run=True)
+        refused = _replace_ledger(state, node, after, told_not_run=True)
         steps.append((f"{name} cannot connect, says 'not run'", refused))
     if held is LedgerState.SENT:
         steps.append(
-            (f"{name} gets the answer", _ledger(state, node, LedgerState.DONE))
+            (f"{name} gets the answer", _replace_ledger(state, node, LedgerState.DONE))
         )
-        lost = _ledger(state, node, LedgerState.UNKNOWN)
+        lost = _replace_ledger(state, node, LedgerState.UNKNOWN)
         steps.append((f"{name} loses the answer", lost))
     return steps
 
@@ -115,22 +115,24 @@
 def _fault_steps(state: State, node: int) -> list[tuple[str, State]]:
     name = "ABC"[node]
     if state.up[node]:
-        crashed = _ledger(
+        crashed = _replace_ledger(
             state,
             node,
             LedgerState.ABSENT,
-            up=put(state.up, node, False),
-            sealed=put(state.sealed, node, False),
+            up=replace_item(state.up, node, False),
+            sealed=replace_item(state.sealed, node, False),
             sending=state.sending - {node},
         )
         return [(f"{name} crashes", crashed)]
-    if state.incarnations[node] < MOST_INCARNATIONS:
-        again = _ledger(
+    if state.incarnations[node] < MAX_INCARNATIONS:
+        again = _replace_ledger(
             state,
             node,
             LedgerState.ABSENT,
-            up=put(state.up, node, True),
-            incarnations=put(state.incarnations, node, state.incarnations[node] + 1),
+            up=replace_item(state.up, node, True),
+            incarnations=replace_item(
+                state.incarnations, node, state.incarnations[node] + 1
+            ),
         )
         return [(f"{name} starts again", again)]
     return []
@@ -147,8 +149,10 @@
     if held is LedgerState.ABSENT:
         return steps
     if not state.sealed[node]:
-        sealed = put(state.sealed, node, True)
-        steps.append((f"{name} seals", _ledger(state, node, held, sealed=sealed)))
+        sealed = replace_item(state.sealed, node, True)
+        steps.append(
+            (f"{name} seals", _replace_ledger(state, node, held, sealed=sealed))
+        )
     may_offer = state.sealed[node] and not in_flight
     if variant is Variant.HAND_OVER_UNSEALED:
         may_offer = not in_flight
@@ -164,20 +168,20 @@
         offer = (node, successor, state.incarnations[successor], held)
         offers = state.offers | {offer}
         label = f"{name} offers its keys to {'ABC'[successor]}"
-        steps.append((label, _ledger(state, node, held, offers=offers)))
+        steps.append((label, _replace_ledger(state, node, held, offers=offers)))
     return steps
 
 
 def _offer_steps(state: State, variant: Variant) -> list[tuple[str, State]]:
     steps = []
     for _, successor, incarnation, content in state.offers:
-        for_this = (
+        incarnation_matches = (
             incarnation == state.incarnations[successor]
             or variant is Variant.ANY_INCARNATION
         )
         free = state.ledgers[successor] is LedgerState.ABSENT
-        if state.up[successor] and for_this and free:
-            taken = _ledger(state, successor, content)
+        if state.up[successor] and incarnation_matches and free:
+            taken = _replace_ledger(state, successor, content)
             steps.append((f"{'ABC'[successor]} takes the keys", taken))
     return steps
 
@@ -208,13 +212,13 @@
 
     def transitions(values: tuple) -> list[tuple[str, tuple]]:
         state = State(*values)
-        return [(label, _as_tuple(after)) for label, after in _steps(state, variant)]
+        return [(label, _to_tuple(after)) for label, after in _steps(state, variant)]
 
     return Protocol(
         name="at most once",
         candidate=False,
         fields=FIELDS,
-        initial=_as_tuple(initial),
+        initial=_to_tuple(initial),
         transitions=transitions,
         invariants={
             "runs_at_most_once": lambda s: s["runs"] <= 1,
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/model/check.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/model/check.py
@@ -14,10 +14,10 @@
 
 __all__ = ["Verdict", "check_all", "render"]
 
-MOST_STATES = 1_000_000
+MAX_STATES = 1_000_000
 # A counterexample is a witness wherever the search stops, so the variants that
 # must be refuted need not be searched to the end.
-MOST_STATES_BROKEN = 30_000
+MAX_STATES_BROKEN = 30_000
 SPECIFICATIONS = (at_most_once, spread, pool_parts, removals, succession)
 
 
@@ -56,7 +56,7 @@
 def check(module: Any, variant: Enum) -> Verdict:
     """Check one variant of one specification."""
     protocol = module.specification(variant)
-    limit = MOST_STATES if variant.name == "AS_IS" else MOST_STATES_BROKEN
+    limit = MAX_STATES if variant.name == "AS_IS" else MAX_STATES_BROKEN
     found = check_safety(protocol, max_states=limit)
     return Verdict(
         protocol.name,
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/model/pool_parts.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/model/pool_parts.py
@@ -11,14 +11,14 @@
 
 from minicheck import Protocol
 
-from .tuples import put
+from .tuples import replace_item
 
 __all__ = ["Variant", "specification"]
 
 ENTRIES = 2
 SCHEDULERS = 2
-MOST_LEASES = 2
-OWN = -1
+MAX_LEASES = 2
+LOCAL = -1
 
 
 class Variant(Enum):
@@ -34,7 +34,7 @@
 class State:
     """One state.
 
-    `lent` says to whom an entry has left its part, or OWN; `lease` numbers
+    `lent` says to whom an entry has left its part, or LOCAL; `lease` numbers
     its leases, and those up to `expired` have run out. `counted` holds, for
     each scheduler and entry, the lease that the scheduler counts on, or 0.
     `messages` are reports under way: scheduler, entry and lease; `ends` are
@@ -53,56 +53,56 @@
 FIELDS = tuple(State.__dataclass_fields__)
 
 
-def _change(state: State, **changes) -> State:
+def _replace(state: State, **changes) -> State:
     fields = {name: getattr(state, name) for name in FIELDS}
     fields.update(changes)
     return State(**fields)
 
 
-def _count(state: State, scheduler: int, entry: int, lease: int) -> tuple:
-    row = put(state.counted[scheduler], entry, lease)
-    return put(state.counted, scheduler, row)
+def _replace_counted(state: State, scheduler: int, entry: int, lease: int) -> tuple:
+    row = replace_item(state.counted[scheduler], entry, lease)
+    return replace_item(state.counted, scheduler, row)
 
 
 def _entry_steps(state: State, entry: int, variant: Variant) -> list[tuple[str, State]]:
     steps = []
     name = f"entry {entry}"
     lent, lease = state.lent[entry], state.lease[entry]
-    free = lent == OWN or variant is Variant.MOVE_WITHOUT_END
-    if free and lease < MOST_LEASES:
+    free = lent == LOCAL or variant is Variant.MOVE_WITHOUT_END
+    if free and lease < MAX_LEASES:
         for scheduler in range(SCHEDULERS):
             if scheduler == lent:
                 continue
-            given = _change(
+            given = _replace(
                 state,
-                lent=put(state.lent, entry, scheduler),
-                lease=put(state.lease, entry, lease + 1),
+                lent=replace_item(state.lent, entry, scheduler),
+                lease=replace_item(state.lease, entry, lease + 1),
                 messages=state.messages | {(scheduler, entry, lease + 1)},
             )
             steps.append((f"{name} leaves its part to scheduler {scheduler}", given))
-    if lent != OWN:
-        asked = _change(state, ends=state.ends | {(lent, entry, lease)})
+    if lent != LOCAL:
+        asked = _replace(state, ends=state.ends | {(lent, entry, lease)})
         steps.append((f"{name} asks scheduler {lent} to end", asked))
         counted = state.counted
         if variant is not Variant.COUNT_FROM_RECEIPT:
             # The scheduler's lease has run out before, by the margin.
             for scheduler in range(SCHEDULERS):
                 if counted[scheduler][entry] == lease:
-                    counted = _count(state, scheduler, entry, 0)
+                    counted = _replace_counted(state, scheduler, entry, 0)
         elif state.counted[lent][entry] == lease:
-            counted = _count(state, lent, entry, 0)
-        out = _change(
+            counted = _replace_counted(state, lent, entry, 0)
+        out = _replace(
             state,
-            lent=put(state.lent, entry, OWN),
-            expired=put(state.expired, entry, lease),
+            lent=replace_item(state.lent, entry, LOCAL),
+            expired=replace_item(state.expired, entry, lease),
             counted=counted,
         )
         steps.append((f"{name}'s lease runs out", out))
         if (lent, entry, lease) in state.ended:
-            back = _change(
+            back = _replace(
                 state,
-                lent=put(state.lent, entry, OWN),
-                expired=put(state.expired, entry, lease),
+                lent=replace_item(state.lent, entry, LOCAL),
+                expired=replace_item(state.expired, entry, lease),
             )
             steps.append((f"{name} hears that it has ended", back))
     return steps
@@ -115,35 +115,39 @@
         ended = (scheduler, entry, lease) in state.ended
         if ended or (late and variant is not Variant.COUNT_FROM_RECEIPT):
             continue
-        counted = _change(state, counted=_count(state, scheduler, entry, lease))
+        counted = _replace(
+            state, counted=_replace_counted(state, scheduler, entry, lease)
+        )
         steps.append((f"scheduler {scheduler} counts on entry {entry}", counted))
     for scheduler, entry, lease in state.ends:
         if (scheduler, entry, lease) in state.ended:
             continue
-        ended = _change(
+        ended = _replace(
             state,
-            counted=_count(state, scheduler, entry, 0),
+            counted=_replace_counted(state, scheduler, entry, 0),
             ended=state.ended | {(scheduler, entry, lease)},
         )
         steps.append((f"scheduler {scheduler} ends for entry {entry}", ended))
     if variant is Variant.GRANT_BEFORE_REPORTS:
         for scheduler in range(SCHEDULERS):
-            everything = put(state.counted, scheduler, (MOST_LEASES + 1,) * ENTRIES)
+            everything = replace_item(
+                state.counted, scheduler, (MAX_LEASES + 1,) * ENTRIES
+            )
             label = f"scheduler {scheduler} counts on everyone"
-            steps.append((label, _change(state, counted=everything)))
+            steps.append((label, _replace(state, counted=everything)))
     return steps
 
 
-def _holders(state: dict, entry: int) -> int:
+def _count_holders(state: dict, entry: int) -> int:
     """Count who would give out an entry's part now."""
     schedulers = sum(row[entry] > 0 for row in state["counted"])
-    return schedulers + (state["lent"][entry] == OWN)
+    return schedulers + (state["lent"][entry] == LOCAL)
 
 
 def specification(variant: Variant = Variant.AS_IS) -> Protocol:
     """Return the specification, or one of its broken variants."""
     initial = State(
-        lent=(OWN,) * ENTRIES,
+        lent=(LOCAL,) * ENTRIES,
         lease=(0,) * ENTRIES,
         expired=(0,) * ENTRIES,
         counted=((0,) * ENTRIES,) * SCHEDULERS,
@@ -170,7 +174,7 @@
         transitions=transitions,
         invariants={
             "a_part_is_given_out_by_one": lambda s: all(
-                _holders(s, entry) <= 1 for entry in range(ENTRIES)
+                _count_holders(s, entry) <= 1 for entry in range(ENTRIES)
             ),
         },
     )
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/model/removals.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/model/removals.py
@@ -13,7 +13,7 @@
 
 from minicheck import Protocol
 
-from .tuples import put
+from .tuples import replace_item
 
 __all__ = ["Variant", "specification"]
 
@@ -66,89 +66,89 @@
 Steps = list[tuple[str, State]]
 
 
-def _change(state: State, **changes) -> State:
+def _replace(state: State, **changes) -> State:
     fields = {name: getattr(state, name) for name in FIELDS}
     fields.update(changes)
     return State(**fields)
 
 
 def _drop(state: State, reader: int, **changes) -> State:
-    return _change(
+    return _replace(
         state,
-        uses=put(state.uses, reader, False),
-        doubts=put(state.doubts, reader, False),
+        uses=replace_item(state.uses, reader, False),
+        doubts=replace_item(state.doubts, reader, False),
         dropped_live=state.dropped_live or (state.uses[reader] and state.lives),
         **changes,
     )
 
 
-def _world_steps(state: State) -> Steps:
+def _environment_steps(state: State) -> Steps:
     steps = []
     if state.phase is Phase.SETTLED:
-        steps.append(("the store goes down", _change(state, phase=Phase.DOWN)))
+        steps.append(("the store goes down", _replace(state, phase=Phase.DOWN)))
     if state.phase is Phase.DOWN:
-        steps.append(("the store is back", _change(state, phase=Phase.BACK)))
+        steps.append(("the store is back", _replace(state, phase=Phase.BACK)))
         if state.listed and all(state.away):
-            steps.append(("the registration runs out", _change(state, listed=False)))
+            steps.append(("the registration runs out", _replace(state, listed=False)))
     if state.phase is Phase.BACK and state.lives and not state.listed:
-        steps.append(("the upstream registers again", _change(state, listed=True)))
+        steps.append(("the upstream registers again", _replace(state, listed=True)))
     if state.phase is Phase.BACK and state.listed == state.lives:
-        steps.append(("the list has settled", _change(state, phase=Phase.SETTLED)))
+        steps.append(("the list has settled", _replace(state, phase=Phase.SETTLED)))
     if state.lives and state.phase is not Phase.DOWN:
-        gone = _change(state, lives=False, listed=False)
+        gone = _replace(state, lives=False, listed=False)
         steps.append(("the upstream leaves", gone))
     for reader in range(READERS):
-        cut = put(state.linked, reader, not state.linked[reader])
+        cut = replace_item(state.linked, reader, not state.linked[reader])
         word = "is cut off" if state.linked[reader] else "is linked again"
-        steps.append((f"{NAMES[reader]} {word}", _change(state, linked=cut)))
+        steps.append((f"{NAMES[reader]} {word}", _replace(state, linked=cut)))
     return steps
 
 
 def _read(state: State, reader: int, variant: Variant) -> State:
     """Return the state after the store has answered a reader."""
     returns = state.away[reader]
-    after = _change(state, away=put(state.away, reader, False))
+    after = _replace(state, away=replace_item(state.away, reader, False))
     if state.listed:
-        return _change(
+        return _replace(
             after,
-            uses=put(after.uses, reader, True),
-            doubts=put(after.doubts, reader, False),
+            uses=replace_item(after.uses, reader, True),
+            doubts=replace_item(after.doubts, reader, False),
         )
     if not state.uses[reader]:
         return after
     must_doubt = returns and variant is not Variant.DOUBT_NOTHING
     if must_doubt or (state.doubts[reader] and not state.assured[reader]):
         late = state.told[reader] and not returns
-        return _change(
+        return _replace(
             after,
-            doubts=put(after.doubts, reader, True),
+            doubts=replace_item(after.doubts, reader, True),
             doubted_left=state.doubted_left or late,
         )
     return _drop(after, reader)
 
 
-def _hear(state: State, reader: int, other: int, variant: Variant) -> State:
+def _receive_digest(state: State, reader: int, other: int, variant: Variant) -> State:
     """Return the state after a reader has heard another one's digest."""
     vouches = state.steady[other]
-    told = put(state.told, reader, state.told[reader] or vouches)
+    told = replace_item(state.told, reader, state.told[reader] or vouches)
     if variant is Variant.BELIEVE_ANY_ANSWER:
         vouches = not state.away[other]
     if variant is Variant.DOUBT_ALONE:
         vouches = False
-    assured = put(state.assured, reader, state.assured[reader] or vouches)
-    return _change(state, told=told, assured=assured)
+    assured = replace_item(state.assured, reader, state.assured[reader] or vouches)
+    return _replace(state, told=told, assured=assured)
 
 
 def _reader_steps(state: State, reader: int, variant: Variant) -> Steps:
     name = NAMES[reader]
     reaches = state.linked[reader] and state.phase is not Phase.DOWN
     if not reaches:
-        away = _change(
+        away = _replace(
             state,
-            away=put(state.away, reader, True),
-            steady=put(state.steady, reader, False),
-            assured=put(state.assured, reader, False),
-            told=put(state.told, reader, False),
+            away=replace_item(state.away, reader, True),
+            steady=replace_item(state.steady, reader, False),
+            assured=replace_item(state.assured, reader, False),
+            told=replace_item(state.told, reader, False),
         )
         return [(f"{name} gets no answer", away)]
     steps = [(f"{name} is answered", _read(state, reader, variant))]
@@ -156,10 +156,10 @@
         return steps
     other = 1 - reader
     if state.linked[other]:
-        heard = _hear(state, reader, other, variant)
+        heard = _receive_digest(state, reader, other, variant)
         steps.append((f"{name} hears {NAMES[other]}", heard))
     if state.phase is Phase.SETTLED:
-        steady = _change(state, steady=put(state.steady, reader, True))
+        steady = _replace(state, steady=replace_item(state.steady, reader, True))
         steps.append((f"{name} has long been answered", steady))
         if state.doubts[reader] and not state.listed:
             steps.append((f"{name} settles", _drop(state, reader)))
@@ -185,7 +185,7 @@
 
     def transitions(values: tuple) -> list[tuple[str, tuple]]:
         state = State(*values)
-        steps = _world_steps(state)
+        steps = _environment_steps(state)
         for reader in range(READERS):
             steps += _reader_steps(state, reader, variant)
         return [
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/model/spread.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/model/spread.py
@@ -10,7 +10,7 @@
 
 from minicheck import Protocol
 
-from .tuples import put
+from .tuples import replace_item
 
 __all__ = ["Variant", "specification"]
 
@@ -48,7 +48,7 @@
 FIELDS = tuple(State.__dataclass_fields__)
 
 
-def _change(state: State, **changes) -> State:
+def _replace(state: State, **changes) -> State:
     fields = {name: getattr(state, name) for name in FIELDS}
     fields.update(changes)
     after = State(**fields)
@@ -58,15 +58,17 @@
     return State(**fields)
 
 
-def _offer(state: State, node: int, number: int, variant: Variant, **changes) -> State:
+def _offer_config(
+    state: State, node: int, number: int, variant: Variant, **changes
+) -> State:
     """Return the state after a node is offered a set."""
-    mine = state.held[node]
+    current = state.held[node]
     always = variant is Variant.ADOPT_WHAT_COMES_LAST
-    adopted = number if number > mine or always else mine
-    return _change(
+    adopted = number if number > current or always else current
+    return _replace(
         state,
-        held=put(state.held, node, adopted),
-        reverted=state.reverted or adopted < mine,
+        held=replace_item(state.held, node, adopted),
+        reverted=state.reverted or adopted < current,
         **changes,
     )
 
@@ -76,10 +78,10 @@
     if state.published < LATEST:
         number = state.published + 1
         steps.append(
-            (f"{number} is published", _change(state, published=number, shown=number))
+            (f"{number} is published", _replace(state, published=number, shown=number))
         )
     steps += [
-        (f"the service shows {number} again", _change(state, shown=number))
+        (f"the service shows {number} again", _replace(state, shown=number))
         for number in range(1, state.published + 1)
         if number != state.shown
     ]
@@ -89,25 +91,25 @@
 def _node_steps(state: State, node: int, variant: Variant) -> list[tuple[str, State]]:
     name = "ABC"[node]
     steps = []
-    read = _offer(state, node, state.shown, variant)
+    read = _offer_config(state, node, state.shown, variant)
     steps.append((f"{name} reads the service", read))
     for peer in range(NODES):
         if peer == node or not state.ready[peer] or not state.held[peer]:
             continue
-        heard = put(state.heard, node, True)
-        told = _offer(state, node, state.held[peer], variant, heard=heard)
+        heard = replace_item(state.heard, node, True)
+        told = _offer_config(state, node, state.held[peer], variant, heard=heard)
         steps.append((f"{name} hears from {'ABC'[peer]}", told))
     asked = state.heard[node] or variant is Variant.SERVE_BEFORE_ASKING_PEERS
     if not state.ready[node] and state.held[node] and asked:
-        ready = _change(state, ready=put(state.ready, node, True))
+        ready = _replace(state, ready=replace_item(state.ready, node, True))
         steps.append((f"{name} begins to serve", ready))
     others = any(ready for peer, ready in enumerate(state.ready) if peer != node)
     if others:
-        new = _change(
+        new = _replace(
             state,
-            held=put(state.held, node, 0),
-            ready=put(state.ready, node, False),
-            heard=put(state.heard, node, False),
+            held=replace_item(state.held, node, 0),
+            ready=replace_item(state.ready, node, False),
+            heard=replace_item(state.heard, node, False),
         )
         steps.append((f"{name} is replaced", new))
     return steps
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/model/succession.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/model/succession.py
@@ -12,18 +12,18 @@
 
 from minicheck import Protocol
 
-from .tuples import put
+from .tuples import replace_item
 
 __all__ = ["Variant", "specification"]
 
 NAMES = "ABC"
-ALL = range(len(NAMES))
+INSTANCES = range(len(NAMES))
 # Ticks of silence after which a speaker is taken to be gone, and how many more each
-# instance waits for those before it in the order, by its place.
-SILENCE = 2
-STAGGER = (0, 0, 1)
-BOUND = SILENCE + max(STAGGER)
-MOST_TICKS = BOUND + 1
+# instance defers for those before it in the order, by its place.
+SILENCE_TICKS = 2
+STAGGER_TICKS = (0, 0, 1)
+MAX_AGE_TICKS = SILENCE_TICKS + max(STAGGER_TICKS)
+MAX_TICKS = MAX_AGE_TICKS + 1
 
 
 class Life(Enum):
@@ -61,44 +61,44 @@
 Steps = list[tuple[str, State]]
 
 
-def _goes_by(state: State, who: int, speaker: int, silent: int, age: int) -> State:
+def _follow(state: State, instance: int, speaker: int, silent: int, age: int) -> State:
     return State(
         state.life,
-        put(state.follows, who, speaker),
-        put(state.silent, who, silent),
-        put(state.age, who, age),
+        replace_item(state.follows, instance, speaker),
+        replace_item(state.silent, instance, silent),
+        replace_item(state.age, instance, age),
     )
 
 
-def _speaks(state: State, who: int) -> bool:
-    return state.follows[who] == who
+def _speaks(state: State, instance: int) -> bool:
+    return state.follows[instance] == instance
 
 
 def _tick(state: State, variant: Variant) -> State:
     """Return the state after a tick: silent speakers are followed."""
     after = state
-    for who in ALL:
-        if state.life[who] is Life.ENDED or _speaks(state, who):
+    for instance in INSTANCES:
+        if state.life[instance] is Life.ENDED or _speaks(state, instance):
             continue
-        silent = min(state.silent[who] + 1, MOST_TICKS)
-        age = min(state.age[who] + 1, MOST_TICKS)
-        waits = variant is Variant.NEVER_SPEAK_UP and STAGGER[who]
-        if silent > SILENCE + STAGGER[who] and not waits:
-            after = _goes_by(after, who, who, 0, 0)
+        silent = min(state.silent[instance] + 1, MAX_TICKS)
+        age = min(state.age[instance] + 1, MAX_TICKS)
+        defers = variant is Variant.NEVER_SPEAK_UP and STAGGER_TICKS[instance]
+        if silent > SILENCE_TICKS + STAGGER_TICKS[instance] and not defers:
+            after = _follow(after, instance, instance, 0, 0)
         else:
-            after = _goes_by(after, who, state.follows[who], silent, age)
+            after = _follow(after, instance, state.follows[instance], silent, age)
     return after
 
 
 def _life_steps(state: State) -> Steps:
     steps = []
     if state.life[0] is Life.SERVES:
-        leaves = State(put(state.life, 0, Life.LEAVES), *_rest(state))
+        leaves = State(replace_item(state.life, 0, Life.LEAVES), *_rest(state))
         steps.append(("A leaves", leaves))
-    for who in ALL:
-        if state.life[who] is not Life.ENDED:
-            ended = State(put(state.life, who, Life.ENDED), *_rest(state))
-            steps.append((f"{NAMES[who]} ends", ended))
+    for instance in INSTANCES:
+        if state.life[instance] is not Life.ENDED:
+            ended = State(replace_item(state.life, instance, Life.ENDED), *_rest(state))
+            steps.append((f"{NAMES[instance]} ends", ended))
     return steps
 
 
@@ -106,57 +106,63 @@
     return state.follows, state.silent, state.age
 
 
-def _word_steps(state: State, who: int, variant: Variant) -> Steps:
+def _message_steps(state: State, instance: int, variant: Variant) -> Steps:
     """Return what may reach an instance from the others."""
     steps = []
-    for other in ALL:
-        if other == who or state.life[other] is Life.ENDED:
+    for other in INSTANCES:
+        if other == instance or state.life[other] is Life.ENDED:
             continue
         if state.life[other] is Life.LEAVES:
-            steps += _leave_heard(state, who, other, variant)
+            steps += _leave_received_steps(state, instance, other, variant)
         elif _speaks(state, other):
-            steps += _digest_heard(state, who, other)
+            steps += _digest_received_steps(state, instance, other)
         else:
-            steps += _passed_on(state, who, other, variant)
+            steps += _relayed_steps(state, instance, other, variant)
     return steps
 
 
-def _leave_heard(state: State, who: int, other: int, variant: Variant) -> Steps:
-    if state.follows[who] != other:
+def _leave_received_steps(
+    state: State, instance: int, other: int, variant: Variant
+) -> Steps:
+    if state.follows[instance] != other:
         return []
-    silent = max(state.silent[who], SILENCE)
+    silent = max(state.silent[instance], SILENCE_TICKS)
     if variant is Variant.LEAVE_BEGINS_WAIT:
-        silent = SILENCE
-    after = _goes_by(state, who, other, silent, state.age[who])
-    return [(f"{NAMES[who]} hears that {NAMES[other]} leaves", after)]
+        silent = SILENCE_TICKS
+    after = _follow(state, instance, other, silent, state.age[instance])
+    return [(f"{NAMES[instance]} hears that {NAMES[other]} leaves", after)]
 
 
-def _digest_heard(state: State, who: int, other: int) -> Steps:
-    followed = state.follows[who]
-    is_silent = not _speaks(state, who) and state.silent[who] > SILENCE
+def _digest_received_steps(state: State, instance: int, other: int) -> Steps:
+    followed = state.follows[instance]
+    is_silent = not _speaks(state, instance) and state.silent[instance] > SILENCE_TICKS
     if other > followed and not is_silent:
         return []
-    after = _goes_by(state, who, other, 0, 0)
-    return [(f"{NAMES[who]} hears {NAMES[other]}", after)]
+    after = _follow(state, instance, other, 0, 0)
+    return [(f"{NAMES[instance]} hears {NAMES[other]}", after)]
 
 
-def _passed_on(state: State, who: int, other: int, variant: Variant) -> Steps:
+def _relayed_steps(state: State, instance: int, other: int, variant: Variant) -> Steps:
     """Return what follows where an instance asks one that does not speak."""
     speaker = state.follows[other]
-    if speaker == who or state.silent[other] > SILENCE or speaker > state.follows[who]:
+    if (
+        speaker == instance
+        or state.silent[other] > SILENCE_TICKS
+        or speaker > state.follows[instance]
+    ):
         return []
     silent, age = state.silent[other], state.age[other]
     if variant is Variant.PASSED_ON_AS_NEW:
         silent = 0
-    elif speaker == state.follows[who] and silent >= state.silent[who]:
+    elif speaker == state.follows[instance] and silent >= state.silent[instance]:
         return []
-    after = _goes_by(state, who, speaker, silent, age)
-    return [(f"{NAMES[who]} is told by {NAMES[other]} of {NAMES[speaker]}", after)]
+    after = _follow(state, instance, speaker, silent, age)
+    return [(f"{NAMES[instance]} is told by {NAMES[other]} of {NAMES[speaker]}", after)]
 
 
 def _is_fresh(values: dict) -> bool:
     return all(
-        age <= BOUND
+        age <= MAX_AGE_TICKS
         for life, age in zip(values["life"], values["age"], strict=True)
         if life is Life.SERVES
     )
@@ -165,18 +171,18 @@
 def specification(variant: Variant = Variant.AS_IS) -> Protocol:
     """Return the specification, or one of its broken variants."""
     initial = State(
-        life=(Life.SERVES,) * len(ALL),
-        follows=(0,) * len(ALL),
-        silent=(0,) * len(ALL),
-        age=(0,) * len(ALL),
+        life=(Life.SERVES,) * len(INSTANCES),
+        follows=(0,) * len(INSTANCES),
+        silent=(0,) * len(INSTANCES),
+        age=(0,) * len(INSTANCES),
     )
 
     def transitions(values: tuple) -> list[tuple[str, tuple]]:
         state = State(*values)
         steps = [("a tick", _tick(state, variant)), *_life_steps(state)]
-        for who in ALL:
-            if state.life[who] is Life.SERVES:
-                steps += _word_steps(state, who, variant)
+        for instance in INSTANCES:
+            if state.life[instance] is Life.SERVES:
+                steps += _message_steps(state, instance, variant)
         return [
             (label, tuple(getattr(after, name) for name in FIELDS))
             for label, after in steps
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/model/tuples.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/model/tuples.py
@@ -2,9 +2,9 @@
 
 from typing import Any
 
-__all__ = ["put"]
+__all__ = ["replace_item"]
 
 
-def put(values: tuple, index: int, value: Any) -> tuple:
+def replace_item(values: tuple, index: int, value: Any) -> tuple:
     """Return the tuple with one value replaced."""
     return (*values[:index], value, *values[index + 1 :])
