--- a/packages/buckthornwall-standins/src/buckthornwall_standins/callers.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/callers.py
@@ -283,7 +283,7 @@
         outcome.sent_at = time.monotonic()
         async with self.pool.stream(
             "POST",
-            f"http://{node.callers}/v1/chat/completions",
+            f"http://{node.caller_address}/v1/chat/completions",
             headers=_headers(arrival.team, arrival.load.id),
             content=msgspec.json.encode(_body(arrival)),
             extensions={"timeout": {"connect": 1.0, "read": READ_TIMEOUT_S}},
@@ -362,7 +362,7 @@
             headers.append(("idempotency-key", key))
         response = await self.pool.request(
             "POST",
-            f"http://{self.pick().callers}/services/{ORDER_ROUTE}/confirm",
+            f"http://{self.pick().caller_address}/services/{ORDER_ROUTE}/confirm",
             headers=headers,
             content=msgspec.json.encode({"order": order}),
             extensions={"timeout": {"connect": 1.0, "read": READ_TIMEOUT_S}},
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/faults/cell_run.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/faults/cell_run.py
@@ -48,7 +48,7 @@
         self.orders_not_run: set[str] = set()
         self.background_stopped = trio.Event()
 
-    def get_load(self, class_id: str) -> ClassLoad:
+    def get_class_load(self, class_id: str) -> ClassLoad:
         """Return the load of a class."""
         return next(each for each in self.fleet.deployment.loads if each.id == class_id)
 
@@ -69,7 +69,7 @@
         self.serial += 1
         at = trio.current_time() - self.callers.started
         nonce = f"x{self.serial}"
-        arrival = Arrival(at, self.get_load(class_id), "one", nonce, tokens, 0)
+        arrival = Arrival(at, self.get_class_load(class_id), "one", nonce, tokens, 0)
         outcome = Outcome(arrival, node=node.id)
         self.outcomes.append(outcome)
         return outcome
@@ -108,7 +108,7 @@
         """Return a fresh idempotency key of an instance."""
         response = await self.callers.pool.request(
             "POST",
-            f"http://{node.callers}/idempotency-keys",
+            f"http://{node.caller_address}/idempotency-keys",
             headers=[("authorization", f"Bearer {make_api_key('one')}")],
         )
         return msgspec.json.decode(response.content)["idempotency_key"]
@@ -123,7 +123,7 @@
         try:
             response = await self.callers.pool.request(
                 "POST",
-                f"http://{node.callers}/services/{ORDER_ROUTE}/confirm",
+                f"http://{node.caller_address}/services/{ORDER_ROUTE}/confirm",
                 headers=headers,
                 content=msgspec.json.encode({"order": order}),
                 extensions={"timeout": timeouts},
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/fleet.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/fleet.py
@@ -143,11 +143,11 @@
     def peer_address(self, node: NodeProcess) -> str:
         """Return the address at which peers dial an instance."""
         if not self.relayed:
-            return node.peers
+            return node.peer_address
         return f"{self.network}.4.{self.nodes.index(node) + 1}:{PEER_PORT}"
 
     def _start_relay(self) -> None:
-        routes = {self.peer_address(node): node.peers for node in self.nodes}
+        routes = {self.peer_address(node): node.peer_address for node in self.nodes}
         self.relay = self.spawn(
             "buckthornwall_standins.relay",
             *("--control", self.relay_control),
@@ -230,7 +230,7 @@
 
     async def wait_ready(self, node: NodeProcess) -> None:
         """Wait until an instance says that it is ready."""
-        await self._wait_for(node.operators, "/readyz")
+        await self._wait_for(node.operator_address, "/readyz")
 
     async def _wait_for(self, address: str, path: str) -> None:
         with trio.fail_after(READY_TIMEOUT_S):
@@ -277,7 +277,7 @@
 
     async def status(self, node: NodeProcess) -> dict[str, Any]:
         """Return what an instance says of itself."""
-        return await self.get_json(node.operators, "/status")
+        return await self.get_json(node.operator_address, "/status")
 
     def upstream_records(self) -> list[dict[str, Any]]:
         """Return the records of the upstreams."""
@@ -302,7 +302,7 @@
         """Tell the platform which instances there are."""
         instances = [
             make_instance_entry(
-                node.id, self.peer_address(node), node.zone, node.operators
+                node.id, self.peer_address(node), node.zone, node.operator_address
             )
             for node in self.nodes
         ]
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/memory_fleet.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/memory_fleet.py
@@ -123,9 +123,9 @@
         self.id = node_id
         self.zone = zone
         self.host = host
-        self.callers = f"{host}:80"
-        self.operators = f"{host}:81"
-        self.peers = f"{host}:82"
+        self.caller_address = f"{host}:80"
+        self.operator_address = f"{host}:81"
+        self.peer_address = f"{host}:82"
         self.clock = PausableClock()
         self.node: Node | None = None
         self.scope = trio.CancelScope()
@@ -309,7 +309,9 @@
     def publish_instances(self) -> None:
         """Tell the platform which instances there are."""
         known = [
-            make_instance_entry(node.id, node.peers, node.zone, node.operators)
+            make_instance_entry(
+                node.id, node.peer_address, node.zone, node.operator_address
+            )
             for node in self.nodes
         ]
         known += [
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/processes.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/processes.py
@@ -56,17 +56,17 @@
     killed: bool = False
 
     @property
-    def callers(self) -> str:
+    def caller_address(self) -> str:
         """Address of the callers' listener."""
         return f"{self.host}:{CALLER_PORT}"
 
     @property
-    def operators(self) -> str:
+    def operator_address(self) -> str:
         """Address of the operators' listener."""
         return f"{self.host}:{OPERATOR_PORT}"
 
     @property
-    def peers(self) -> str:
+    def peer_address(self) -> str:
         """Address that peers dial."""
         return f"{self.host}:{PEER_PORT}"
 
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/slopes.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/slopes.py
@@ -261,11 +261,11 @@
 )
 
 
-async def _run_streams(fleet: Fleet, callers: str, pid: int) -> tuple[float, int]:
+async def _run_streams(fleet: Fleet, address: str, pid: int) -> tuple[float, int]:
     """Run the streams through an address; return its processor time and tokens."""
     client = Callers(fleet, [])
     client.started = trio.current_time()
-    target = type("Target", (), {"callers": callers})
+    target = type("Target", (), {"caller_address": address})
     outcomes = []
     before = _read_cpu_s(pid)
     async with client.pool, trio.open_nursery() as nursery:
@@ -300,7 +300,9 @@
         try:
             await _wait_listening(fleet, bare_address)
             bare_cpu, bare_tokens = await _run_streams(fleet, bare_address, bare.pid)
-            cpu, tokens = await _run_streams(fleet, node.callers, node.process.pid)
+            cpu, tokens = await _run_streams(
+                fleet, node.caller_address, node.process.pid
+            )
         finally:
             bare.kill()
             bare.wait()
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/tests/test_bad_input.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/tests/test_bad_input.py
@@ -40,7 +40,7 @@
 async def post(run, path, content, key="one", headers=()):
     response = await run.callers.pool.request(
         "POST",
-        f"http://{run.entry.callers}{path}",
+        f"http://{run.entry.caller_address}{path}",
         headers=[("authorization", f"Bearer {make_api_key(key)}"), *headers],
         content=content,
     )
@@ -169,19 +169,19 @@
 ):
     async with Fleet.running(small_deployment) as fleet:
         node = fleet.nodes[0]
-        async with connect(f"ws://{node.peers}", proxy=None) as socket_:
+        async with connect(f"ws://{node.peer_address}", proxy=None) as socket_:
             challenge = decode_batch(await socket_.recv())[0]
             assert isinstance(challenge, Challenge)
             hello = Hello("intruder", 1, "127.0.0.1:9", b"\0" * 32)
             await socket_.send(encode_batch([hello]))
             with pytest.raises(Exception, match="1000|closed"):
                 await socket_.recv()
-        async with connect(f"ws://{node.peers}", proxy=None) as socket_:
+        async with connect(f"ws://{node.peer_address}", proxy=None) as socket_:
             await socket_.recv()
             await socket_.send(b"\xff\x00 not cbor")
             with pytest.raises(Exception, match="1000|closed"):
                 await socket_.recv()
-        with socket.create_connection(node.peers.split(":")) as raw:
+        with socket.create_connection(node.peer_address.split(":")) as raw:
             raw.sendall(b"\0" * 100)
         status = await fleet.status(node)
         assert status["state"] == "ready"
@@ -194,7 +194,7 @@
 ):
     async with Fleet.running(small_deployment) as fleet:
         node = fleet.nodes[0]
-        address = node.callers.split(":")
+        address = node.caller_address.split(":")
         with (
             socket.create_connection(address) as slow,
             socket.create_connection(address) as large,
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/tests/test_live.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/tests/test_live.py
@@ -41,7 +41,8 @@
     async with Fleet.running(small_deployment) as fleet:
         node = fleet.nodes[0]
         client = openai.OpenAI(
-            base_url=f"http://{node.callers}/v1", api_key=make_api_key("obra-norte")
+            base_url=f"http://{node.caller_address}/v1",
+            api_key=make_api_key("obra-norte"),
         )
 
         def create(**fields):
@@ -212,7 +213,7 @@
 
 async def test_the_operators_commands_read_a_fleet(small_deployment, tmp_path):
     async with Fleet.running(small_deployment) as fleet:
-        addresses = [node.operators for node in fleet.nodes]
+        addresses = [node.operator_address for node in fleet.nodes]
 
         async def ctl(*arguments):
             command = [sys.executable, "-m", "buckthornwall_ctl.main", *arguments]
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/tests/test_races.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/tests/test_races.py
@@ -204,7 +204,7 @@
                 nursery.start_soon(ask)
         refused = [each for each in outcomes if each[0].verdict is Verdict.REFUSED]
         assert refused
-        first_token_s = run.get_load("routine").first_token_s
+        first_token_s = run.get_class_load("routine").first_token_s
         for outcome, took_s in refused:
             assert took_s <= first_token_s + 0.2
             assert outcome.run == "no"
