--- a/packages/buckthornwall-standins/src/buckthornwall_standins/faults/__init__.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/faults/__init__.py
@@ -1,17 +1,17 @@
-"""The fault matrix: every fault at every step, on the real code.
+"""The fault matrix: every fault at every step of a request, on the product's code.
 
-A cell starts the small deployment, brings one urgent completion and one order
-confirmation to a step, injects the fault, undoes it after a while, and then
-checks all eight points of what must always hold. Everything runs on the mock
-clock, so that a cell takes seconds and repeats itself.
+A cell starts a small deployment, advances one urgent completion and one order
+confirmation to a step, injects the fault, undoes it some seconds later, and then
+checks the eight guarantees. It runs on trio's mock clock, so that a cell takes
+seconds and is reproducible.
 
 ============ ==========================================================
-`kinds`      points, steps, faults and cells
-`steps`      bring a cell to its step
+`kinds`      guarantees, steps, faults and cells
+`steps`      advance a cell to its step
 `injection`  inject faults and undo them
-`checks`     check the eight points
+`checks`     check the eight guarantees
 `core`       run cells
-`grid`       show them
+`grid`       render the results as Markdown
 ============ ==========================================================
 """
 
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/faults/__main__.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/faults/__main__.py
@@ -1,4 +1,4 @@
-"""Run the matrix and write its grid."""
+"""Run the fault matrix and write its results as Markdown."""
 
 import argparse
 import sys
@@ -10,7 +10,7 @@
 
 
 def main() -> int:
-    """Run the matrix and write the grid; return 1 if a point failed."""
+    """Run the matrix and write the results; return 1 if a guarantee failed."""
     parser = argparse.ArgumentParser(description="Run the fault matrix.")
     parser.add_argument("--write", type=Path, help="file for the grid")
     parser.add_argument("--only", default="", help="part of a cell's name")
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/faults/cell_run.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/faults/cell_run.py
@@ -1,4 +1,4 @@
-"""The state of one cell while it runs: its fleet, requests and orders."""
+"""State of a running cell: its deployment, requests and order confirmations."""
 
 import itertools
 from collections.abc import Awaitable, Callable
@@ -23,10 +23,10 @@
 
 
 class CellRun:
-    """The state of one cell while it runs.
+    """State of a running cell.
 
     `scheduler` is the instance that schedules the pool, `entry` the one that
-    the main request goes through, and `third` the remaining one.
+    receives the main request, and `third` the remaining one.
     """
 
     def __init__(self, fleet: MemoryFleet, cell: Cell) -> None:
@@ -49,23 +49,23 @@
         self.background_stopped = trio.Event()
 
     def get_class_load(self, class_id: str) -> ClassLoad:
-        """Return the load of a class."""
+        """Return the load definition of a service class."""
         return next(each for each in self.fleet.deployment.loads if each.id == class_id)
 
     def record_failure(self, guarantee: Guarantee, detail: str) -> None:
-        """Note that a point failed; the first detail is kept."""
+        """Record that a guarantee failed; only its first detail is kept."""
         self.cell.failed.setdefault(guarantee, detail)
 
     # Requests
 
     async def request(self, node: MemoryNode, class_id: str, tokens: int) -> Outcome:
-        """Send one completion through a node and wait for its end."""
+        """Send one completion through an instance and wait until it ends."""
         outcome = self.new_outcome(node, class_id, tokens)
         await self.send(node, outcome)
         return outcome
 
     def new_outcome(self, node: MemoryNode, class_id: str, tokens: int) -> Outcome:
-        """Return the outcome of a request that is yet to be sent."""
+        """Create a request that is not sent yet; return its outcome."""
         self.serial += 1
         at = trio.current_time() - self.callers.started
         nonce = f"x{self.serial}"
@@ -75,7 +75,7 @@
         return outcome
 
     async def send(self, node: MemoryNode, outcome: Outcome) -> None:
-        """Send the request of an outcome and wait for its end."""
+        """Send the request of an outcome and wait until it ends."""
         with trio.move_on_after(RESPONSE_TIMEOUT_S):
             try:
                 await self.callers._stream_completion(node, outcome.arrival, outcome)
@@ -89,12 +89,12 @@
         self.main_ended.set()
 
     def node_for_main(self) -> MemoryNode:
-        """Return the instance that the main request goes through."""
+        """Return the instance that receives the main request."""
         handed_over = self.cell.step is Step.KEY_HANDED_OVER
         return self.third if handed_over else self.entry
 
     async def run_background_load(self) -> None:
-        """Keep some work of a lower tier going, to compete with the urgent."""
+        """Send requests of a lower tier that compete with the urgent ones."""
         async with trio.open_nursery() as nursery:
             while not self.background_stopped.is_set():
                 nursery.start_soon(
@@ -105,7 +105,7 @@
     # Orders
 
     async def create_idempotency_key(self, node: MemoryNode) -> str:
-        """Return a fresh idempotency key of an instance."""
+        """Return a new idempotency key issued by an instance."""
         response = await self.callers.pool.request(
             "POST",
             f"http://{node.caller_address}/idempotency-keys",
@@ -114,7 +114,7 @@
         return msgspec.json.decode(response.content)["idempotency_key"]
 
     async def confirm(self, node: MemoryNode, order: str, key: str) -> tuple[int, str]:
-        """Send a confirmation once; return its status and what it says of a run."""
+        """Send a confirmation once; return its status and its ``run`` field."""
         headers = [
             ("authorization", f"Bearer {make_api_key('one')}"),
             ("idempotency-key", key),
@@ -137,7 +137,7 @@
         return response.status, run
 
     async def confirm_until_settled(self, order: str, key: str) -> None:
-        """Repeat a confirmation through one node after another."""
+        """Retry a confirmation through the instances in turn until it is settled."""
         nodes = itertools.cycle([self.third, self.scheduler, self.entry])
         for _ in range(MAX_ORDER_ATTEMPTS):
             node = next(each for each in nodes if each in self.fleet.running_nodes())
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/faults/checks.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/faults/checks.py
@@ -1,4 +1,4 @@
-"""The checks of the eight points, made in every cell."""
+"""The checks of the eight guarantees, made in every cell."""
 
 import trio
 
@@ -16,7 +16,7 @@
 
 
 async def check_all(run: CellRun) -> None:
-    """Check every point, once the fault is undone."""
+    """Check every guarantee once the faults are undone."""
     _check_main(run)
     await _check_records(run)
     await _check_classes(run)
@@ -26,7 +26,7 @@
 
 
 def _check_main(run: CellRun) -> None:
-    """Check that the urgent request is whole, or broken by what had to break it."""
+    """Check that the urgent request completed, unless a fault excuses its end."""
     faults = run.cell.faults
     outcome = run.main
     if outcome.verdict is Verdict.REFUSED:
@@ -39,27 +39,32 @@
 
 
 def _check_counts(run: CellRun) -> None:
-    """Compare what the stand-ins counted with what callers were told."""
+    """Compare the counts of the stand-ins with the answers that callers got."""
     started = run.fleet.started_nonces()
     confirmed = run.fleet.service.confirmed
     for outcome in run.outcomes:
         if outcome.verdict is Verdict.CORRUPTED:
-            run.record_failure(Guarantee.OWN_ANSWER, f"mixed up: {outcome.detail}")
-        untrue = outcome.verdict is Verdict.REFUSED and outcome.run == "no"
-        if untrue and outcome.arrival.nonce in started:
             run.record_failure(
-                Guarantee.TRUE_REFUSAL, f"{outcome.arrival.nonce} had run"
+                Guarantee.OWN_ANSWER, f"corrupted response: {outcome.detail}"
+            )
+        claims_not_run = outcome.verdict is Verdict.REFUSED and outcome.run == "no"
+        if claims_not_run and outcome.arrival.nonce in started:
+            run.record_failure(
+                Guarantee.TRUE_REFUSAL,
+                f"{outcome.arrival.nonce} ran despite its refusal",
             )
     for order, count in confirmed.items():
         if count > 1:
             run.record_failure(Guarantee.AT_MOST_ONCE, f"{order} ran {count} times")
     for order in run.orders_not_run:
         if confirmed[order]:
-            run.record_failure(Guarantee.TRUE_REFUSAL, f"{order} had run")
+            run.record_failure(
+                Guarantee.TRUE_REFUSAL, f"{order} ran despite its refusal"
+            )
 
 
 async def _check_records(run: CellRun) -> None:
-    """Check that a newer set reaches every instance, and none ever went back."""
+    """Check that a newer configuration reaches all instances and none reverted."""
     fleet = run.fleet
     fleet.config_number += 1
     fleet.publish(fleet.config_number)
@@ -77,15 +82,17 @@
             Guarantee.RECORDS, f"numbers {numbers}, published {fleet.config_number}"
         )
     for node in fleet.nodes:
-        shown = [number for number in node.config_numbers if number]
-        if shown != sorted(shown):
-            run.record_failure(Guarantee.RECORDS, f"{node.id} went back: {shown}")
-        if shown and shown[0] < FIRST_NUMBER:
-            run.record_failure(Guarantee.RECORDS, f"{node.id} began with {shown[0]}")
+        adopted = [number for number in node.config_numbers if number]
+        if adopted != sorted(adopted):
+            run.record_failure(Guarantee.RECORDS, f"{node.id} reverted: {adopted}")
+        if adopted and adopted[0] < FIRST_NUMBER:
+            run.record_failure(
+                Guarantee.RECORDS, f"{node.id} started with {adopted[0]}"
+            )
 
 
 async def _check_classes(run: CellRun) -> None:
-    """Check that every class is served through every instance."""
+    """Check that every instance serves every service class."""
 
     async def probe(node: MemoryNode, class_id: str) -> None:
         outcome = await run.request(node, class_id, BACKGROUND_TOKENS)
@@ -100,7 +107,7 @@
 
 
 async def _check_leaving(run: CellRun) -> None:
-    """Check that an engine listed as leaving is soon asked for nothing."""
+    """Check that an engine listed as leaving gets no new requests after the grace."""
     fleet = run.fleet
     engine_id = next(iter(fleet.engines))
     fleet.leaving.add(engine_id)
@@ -117,7 +124,7 @@
 
 
 async def _check_graceful(run: CellRun) -> None:
-    """Check that an instance that stops as planned finishes its answers."""
+    """Check that an instance completes its responses before a graceful stop."""
     node = run.fleet.running_nodes()[-1]
     async with trio.open_nursery() as nursery:
         outcome = run.new_outcome(node, "urgent", 2 * MAIN_TOKENS)
@@ -126,7 +133,7 @@
         try:
             await run.fleet.stop(node)
         except trio.TooSlowError:
-            run.record_failure(Guarantee.GRACEFUL, f"{node.id} never left")
+            run.record_failure(Guarantee.GRACEFUL, f"{node.id} did not stop")
     if outcome.verdict is not Verdict.COMPLETE:
         run.record_failure(
             Guarantee.GRACEFUL, f"{outcome.verdict.value}: {outcome.detail}"
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/faults/core.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/faults/core.py
@@ -1,4 +1,4 @@
-"""Run cells, each on a fleet of its own in memory."""
+"""Run the cells of the matrix, each on its own deployment in memory."""
 
 from collections.abc import Callable
 from concurrent.futures import ProcessPoolExecutor
@@ -68,16 +68,16 @@
     Parameters
     ----------
     step, faults
-        Which cell.
+        The cell.
     add_defect
-        Breaks the running fleet's code on purpose, to show that it is caught.
+        Adds a defect to the running deployment, to show that it is detected.
     seed
-        Of ids, jitter and scheduling.
+        Seed of ids, jitter and trio's choice among runnable tasks.
 
     Returns
     -------
     Cell
-        With the points that failed.
+        The cell with the guarantees that failed.
     """
     cell = Cell(step, faults, impossible_reason=cannot_occur(step, faults))
     if not cell.impossible_reason:
@@ -92,6 +92,6 @@
 
 
 def run_cells(cells: list[tuple[Step, tuple[Fault, ...]]], jobs: int) -> list[Cell]:
-    """Run many cells, spread over processes; each cell repeats by itself."""
+    """Run cells in `jobs` processes; each is reproducible on its own."""
     with ProcessPoolExecutor(jobs) as pool:
         return list(pool.map(_run_quietly, cells, chunksize=CELLS_PER_CHUNK))
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/faults/grid.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/faults/grid.py
@@ -1,4 +1,4 @@
-"""The matrix as Markdown."""
+"""Results of the fault matrix as Markdown."""
 
 from .kinds import Cell, Fault, Guarantee, Step
 
@@ -6,7 +6,7 @@
 
 
 def render_grid(cells: list[Cell]) -> str:
-    """Return the matrix as Markdown: the number of points that held."""
+    """Return the matrix as Markdown, with the number of guarantees that held."""
     guarantees = len(Guarantee)
     steps = [step.value for step in Step]
     lines = [
@@ -19,21 +19,22 @@
         "| fault | " + " | ".join(steps) + " |",
         "|---|" + "---|" * len(steps),
     ]
-    shown = {(cell.step, cell.faults): cell for cell in cells}
+    cell_of = {(cell.step, cell.faults): cell for cell in cells}
     for fault in Fault:
-        row = [shown.get((step, (fault,))) for step in Step]
-        marks = [_mark(cell, guarantees) for cell in row]
-        lines.append(f"| {fault.value} | " + " | ".join(marks) + " |")
+        row = [cell_of.get((step, (fault,))) for step in Step]
+        results = [_format_result(cell, guarantees) for cell in row]
+        lines.append(f"| {fault.value} | " + " | ".join(results) + " |")
     pairs = [cell for cell in cells if len(cell.faults) > 1]
     lines += ["", f"## Two faults together, {Step.MID_STREAM.value}", ""]
     lines += [
-        f"- {cell.name.partition(': ')[2]}: {_mark(cell, guarantees)}" for cell in pairs
+        f"- {cell.name.partition(': ')[2]}: {_format_result(cell, guarantees)}"
+        for cell in pairs
     ]
     lines += ["", "## Cells that cannot occur", ""]
     reasons = sorted(
         {(c.name, c.impossible_reason) for c in cells if c.impossible_reason}
     )
-    lines += [f"- {name}: {why}" for name, why in reasons]
+    lines += [f"- {name}: {reason}" for name, reason in reasons]
     failures = [cell for cell in cells if cell.failed]
     lines += ["", "## Points that failed", ""]
     lines += [
@@ -48,7 +49,7 @@
     return "\n".join(lines) + "\n"
 
 
-def _mark(cell: Cell | None, guarantees: int) -> str:
+def _format_result(cell: Cell | None, guarantees: int) -> str:
     if cell is None or cell.impossible_reason:
         return "-"
     return f"{guarantees - len(cell.failed)}/{guarantees}"
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/faults/injection.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/faults/injection.py
@@ -1,4 +1,4 @@
-"""Inject faults, and undo them."""
+"""Inject faults and undo them."""
 
 import trio
 
@@ -13,7 +13,7 @@
 STALE_NUMBER = 1
 
 
-def _serving_engine(run: CellRun) -> str:
+def _find_serving_engine(run: CellRun) -> str:
     nonce = run.main.arrival.nonce
     for engine in run.fleet.engines.values():
         if nonce in engine.token_ranges:
@@ -22,9 +22,9 @@
 
 
 def inject_fault(run: CellRun, fault: Fault, nursery: trio.Nursery) -> None:
-    """Inject one fault, and note how to undo it."""
+    """Inject one fault and register the action that undoes it."""
     fleet = run.fleet
-    engine_id = _serving_engine(run)
+    engine_id = _find_serving_engine(run)
     engine = fleet.engines[engine_id]
     node = run.entry if fault in ENTRY_FAULTS else run.scheduler
     if fault is Fault.ENGINE_CRASH:
@@ -71,13 +71,13 @@
 
 
 async def _restart_killed(fleet: MemoryFleet, node: MemoryNode) -> None:
-    """Start an instance anew while whatever else is wrong still is."""
+    """Restart a killed instance while the other faults of the cell persist."""
     await trio.sleep(RESTART_S)
     fleet.start_node(node)
 
 
 async def _restart_stopped(fleet: MemoryFleet, node: MemoryNode) -> None:
-    """Start an instance anew once it has left."""
+    """Restart an instance once it has stopped."""
     await node.ended.wait()
     await trio.sleep(0.1)
     fleet.start_node(node)
@@ -87,6 +87,6 @@
     """Undo every fault of the cell."""
     run.fleet.network.heal()
     for action in run.undo_actions:
-        waiting = action()
-        if waiting is not None:
-            await waiting
+        pending = action()
+        if pending is not None:
+            await pending
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/faults/kinds.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/faults/kinds.py
@@ -1,4 +1,4 @@
-"""Points, steps and faults, and the cells they make."""
+"""Guarantees, steps and faults, and the cells that combine them."""
 
 import itertools
 from dataclasses import dataclass, field
@@ -8,7 +8,7 @@
 
 
 class Guarantee(Enum):
-    """The eight points of the brief that must always hold."""
+    """The eight guarantees that hold under every fault."""
 
     URGENT = "urgent work is never shed for a lower tier"
     NO_STARVATION = "every class is served in the end"
@@ -21,7 +21,7 @@
 
 
 class Step(Enum):
-    """Steps of a request, and of a set of records."""
+    """Steps of a request, and of a published configuration."""
 
     RECEIVED = "received"
     QUEUED = "queued"
@@ -42,7 +42,7 @@
 
 
 class Fault(Enum):
-    """Faults of the brief."""
+    """Faults that can be injected."""
 
     NONE = "none"
     ENGINE_CRASH = "engine crash"
@@ -73,7 +73,7 @@
 
 
 def cannot_occur(step: Step, faults: tuple[Fault, ...]) -> str:
-    """Return why a cell cannot occur, or nothing if it can."""
+    """Return the reason why a cell cannot occur; empty if it can."""
     if step in RECORD_STEPS and set(faults) & set(CALLER_FAULTS):
         return "no caller takes part in this step"
     if step is Step.KEY_HANDED_OVER and set(faults) & set(ENTRY_FAULTS):
@@ -87,7 +87,7 @@
 
 @dataclass
 class Cell:
-    """One cell and what it showed: the points that failed, with details."""
+    """One cell of the matrix, with the guarantees that failed and their details."""
 
     step: Step
     faults: tuple[Fault, ...]
@@ -96,12 +96,12 @@
 
     @property
     def name(self) -> str:
-        """Step and faults in words."""
+        """Step and faults as text."""
         return f"{self.step.value}: {' + '.join(each.value for each in self.faults)}"
 
 
 def all_cells() -> list[tuple[Step, tuple[Fault, ...]]]:
-    """Return every single fault at every step, and the pairs mid-stream."""
+    """Return each fault at each step, and each pair of faults mid-stream."""
     singles = [(step, (fault,)) for step in Step for fault in Fault]
     real = [fault for fault in Fault if fault is not Fault.NONE]
     pairs = [(Step.MID_STREAM, pair) for pair in itertools.combinations(real, 2)]
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/faults/steps.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/faults/steps.py
@@ -1,4 +1,4 @@
-"""Bring a cell's request, or set of records, to its step."""
+"""Advance a cell's request, or its published configuration, to its step."""
 
 from collections.abc import Callable
 
@@ -16,7 +16,7 @@
 
 
 async def advance_to_step(run: CellRun, nursery: trio.Nursery) -> None:
-    """Bring the main request, or a set of records, to the cell's step."""
+    """Advance the main request, or a published configuration, to the cell's step."""
     step = run.cell.step
     run.main = run.new_outcome(run.node_for_main(), "urgent", MAIN_TOKENS)
     if step in RECORD_STEPS:
@@ -35,7 +35,7 @@
 
 
 async def fill_engines(run: CellRun, nursery: trio.Nursery) -> None:
-    """Fill every slot, so that the next request has to wait."""
+    """Occupy every slot, so that the next request is queued."""
     for class_id in ("routine", "routine", "routine", "urgent"):
         nursery.start_soon(run.request, run.third, class_id, FILL_TOKENS)
     slots = sum(engine.model.slots for engine in run.fleet.engines.values())
@@ -64,7 +64,7 @@
 
 
 async def _advance_to_hand_over(run: CellRun, nursery: trio.Nursery) -> None:
-    """Let the owner of a key with a call in flight stop as planned."""
+    """Stop the owner of an idempotency key gracefully while its call is in flight."""
     fleet = run.fleet
     key = await run.create_idempotency_key(run.entry)
     order = f"handed-over-{run.cell.name}"
@@ -82,7 +82,7 @@
 
 
 async def _advance_to_record_step(run: CellRun, nursery: trio.Nursery) -> None:
-    """Publish to a platform that answers only the scheduler's instance."""
+    """Publish while only the scheduler's instance can reach the platform."""
     fleet = run.fleet
     nursery.start_soon(run.run_main)
     platform_host = fleet.platform_address.partition(":")[0]
@@ -94,6 +94,11 @@
     def holders() -> int:
         return sum(n.node.store.number == fleet.config_number for n in fleet.nodes)
 
-    wanted = {Step.PUBLISHED: 0, Step.WATCHED: 1, Step.SPREAD: 2, Step.IN_FORCE: 3}
-    least = wanted[run.cell.step]
-    await fleet.wait_until(lambda: holders() >= least, poll_s=STEP_POLL_S)
+    required_holders = {
+        Step.PUBLISHED: 0,
+        Step.WATCHED: 1,
+        Step.SPREAD: 2,
+        Step.IN_FORCE: 3,
+    }
+    min_holders = required_holders[run.cell.step]
+    await fleet.wait_until(lambda: holders() >= min_holders, poll_s=STEP_POLL_S)
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/tests/test_faults.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/tests/test_faults.py
@@ -1,4 +1,4 @@
-"""The fault matrix, and a fault planted in the code for each point."""
+"""The fault matrix, and for each guarantee a defect that it must detect."""
 
 import pytest
 from buckthornwall.codes import Executed, ResultCode, UpstreamError
@@ -27,21 +27,21 @@
 pytestmark = pytest.mark.faults
 
 
-def test_every_point_holds_in_every_cell():
+def test_all_guarantees_hold_under_every_fault():
     cells = run_cells(all_cells(), JOBS)
     failed = {cell.name: cell.failed for cell in cells if cell.failed}
     assert not failed
     assert "## Points that failed\n\nnone" in render_grid(cells)
 
 
-def test_a_cell_repeats_itself():
-    once = run_cell(Step.GRANTED, (Fault.KILL_SCHEDULER,))
-    again = run_cell(Step.GRANTED, (Fault.KILL_SCHEDULER,))
-    assert once == again
+def test_same_seed_reproduces_cell():
+    first = run_cell(Step.GRANTED, (Fault.KILL_SCHEDULER,))
+    second = run_cell(Step.GRANTED, (Fault.KILL_SCHEDULER,))
+    assert first == second
 
 
 def refuse_urgent(monkeypatch):
-    """Shed urgent work as if it were any other, and early."""
+    """Refuse urgent requests as overload."""
     original = PoolScheduler.enqueue
 
     def enqueue(self, node, message, now):
@@ -56,8 +56,8 @@
     monkeypatch.setattr(PoolScheduler, "enqueue", enqueue)
 
 
-def starve_low(monkeypatch):
-    """Never choose the lowest class."""
+def starve_lowest_class(monkeypatch):
+    """Never enqueue requests of the lowest class."""
     original = PoolScheduler.enqueue
 
     def enqueue(self, node, message, now):
@@ -68,8 +68,8 @@
     monkeypatch.setattr(PoolScheduler, "enqueue", enqueue)
 
 
-def start_over_instead_of_resuming(monkeypatch):
-    """Send the whole answer again after a break."""
+def restart_instead_of_resuming(monkeypatch):
+    """Send the response from its first token after an interruption."""
 
     def engine_body(self, job):
         return {**job.body, "stream": True}
@@ -78,7 +78,7 @@
 
 
 def claim_not_run(monkeypatch):
-    """Say that a broken request was not run."""
+    """Report that an interrupted request was not run."""
     original = CompletionHandler._refusal_for
 
     def refusal_for(job, error):
@@ -88,7 +88,7 @@
 
     async def stream(self, *arguments):
         async for chunks in original_stream(self, *arguments):
-            raise UpstreamError(ResultCode.UPSTREAM_BROKEN, "planted")
+            raise UpstreamError(ResultCode.UPSTREAM_BROKEN, "injected defect")
             yield chunks
 
     original_stream = EngineClient.stream
@@ -96,8 +96,8 @@
     monkeypatch.setattr(CompletionHandler, "_refusal_for", staticmethod(refusal_for))
 
 
-def dispatch_again(monkeypatch):
-    """Forget that a key was dispatched."""
+def dispatch_repeatedly(monkeypatch):
+    """Ignore that the call of a key was already dispatched."""
     original = KeyLedger.begin
 
     def begin(self, serial, fingerprint):
@@ -109,12 +109,12 @@
 
 
 def ignore_leaving(monkeypatch):
-    """Believe no news of a leaving upstream."""
+    """Ignore that an upstream is leaving."""
     monkeypatch.setattr(MemberTable, "is_leaving", lambda self, upstream, now: False)
 
 
-def stop_at_once(monkeypatch):
-    """Leave without waiting for what is in flight."""
+def stop_without_draining(monkeypatch):
+    """Leave without waiting for requests in flight."""
 
     async def stop(self, callers_closed):
         self.members.set_local_state(NodeState.LEAVING)
@@ -122,8 +122,8 @@
     monkeypatch.setattr(Node, "_stop", stop)
 
 
-def adopt_anything(monkeypatch):
-    """Adopt whatever comes last."""
+def adopt_any_number(monkeypatch):
+    """Adopt the configuration that arrives last, whatever its number."""
 
     def offer(self, raw):
         self.view = parse_records(raw)
@@ -134,18 +134,18 @@
 
 DEFECTS = [
     (Guarantee.URGENT, refuse_urgent, Step.MID_STREAM, Fault.NONE),
-    (Guarantee.NO_STARVATION, starve_low, Step.MID_STREAM, Fault.NONE),
+    (Guarantee.NO_STARVATION, starve_lowest_class, Step.MID_STREAM, Fault.NONE),
     (
         Guarantee.OWN_ANSWER,
-        start_over_instead_of_resuming,
+        restart_instead_of_resuming,
         Step.MID_STREAM,
         Fault.ENGINE_CRASH,
     ),
     (Guarantee.TRUE_REFUSAL, claim_not_run, Step.OPENED, Fault.NONE),
-    (Guarantee.AT_MOST_ONCE, dispatch_again, Step.MID_STREAM, Fault.NONE),
+    (Guarantee.AT_MOST_ONCE, dispatch_repeatedly, Step.MID_STREAM, Fault.NONE),
     (Guarantee.LEAVING, ignore_leaving, Step.MID_STREAM, Fault.NONE),
-    (Guarantee.GRACEFUL, stop_at_once, Step.MID_STREAM, Fault.NONE),
-    (Guarantee.RECORDS, adopt_anything, Step.MID_STREAM, Fault.SERVICE_STALE),
+    (Guarantee.GRACEFUL, stop_without_draining, Step.MID_STREAM, Fault.NONE),
+    (Guarantee.RECORDS, adopt_any_number, Step.MID_STREAM, Fault.SERVICE_STALE),
 ]
 
 
@@ -154,7 +154,7 @@
     DEFECTS,
     ids=[p[0].name for p in DEFECTS],
 )
-def test_a_planted_fault_is_caught(monkeypatch, guarantee, add_defect, step, fault):
+def test_matrix_detects_defect(monkeypatch, guarantee, add_defect, step, fault):
     assert guarantee not in run_cell(step, (fault,)).failed
     add_defect(monkeypatch)
     assert guarantee in run_cell(step, (fault,)).failed
