--- a/packages/buckthornwall-standins/src/buckthornwall_standins/model/__init__.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/model/__init__.py
@@ -1,9 +1,11 @@
-"""Small specifications of the core protocol, and their model checking.
+"""Small specifications of the core protocols, and their model checking.
 
 ================ =========================================================
-`at_most_once`   calls under keys that name their owner
-`spread`         adoption and spread of records
-`pool_parts`     parts of a pool left to schedulers by leases
-`check`          checks each, and the broken variants that must be refuted
+`at_most_once`   calls under idempotency keys that name their owner
+`spread`         adoption and distribution of configurations
+`pool_parts`     shares of a pool lent to schedulers by leases
+`removals`       removal of upstreams after outages of the store
+`succession`     election of a zone's next speaker
+`check`          proves each, and refutes its broken variants
 ================ =========================================================
 """
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/model/at_most_once.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/model/at_most_once.py
@@ -1,9 +1,9 @@
-"""Specification: a call under a key that names its owner runs at most once.
+"""Specification: a call under an idempotency key runs at most once.
 
-One key of node A's first incarnation; nodes B and C may become successors.
-A request for the key may arrive at any node at any time and any number of
-times: that covers repeats through any node, duplicated and late messages,
-freezes and cuts. A message once sent stays deliverable for ever.
+Keys name the node that owns them. One key issued by the first incarnation of node A; nodes B and C may become its
+successors. A request for the key may arrive at any node at any time and any number
+of times, which covers retries through any node, duplicated and delayed messages,
+freezes and network partitions. A message once sent stays deliverable forever.
 """
 
 from dataclasses import dataclass
@@ -21,7 +21,7 @@
 
 
 class LedgerState(Enum):
-    """What a node's ledger says of the key; MARKED and SENT are DISPATCHED."""
+    """State of the key in a node's ledger; MARKED and SENT are its DISPATCHED."""
 
     ABSENT = "absent"
     UNUSED = "unused"
@@ -33,7 +33,7 @@
 
 
 class Variant(Enum):
-    """The protocol as it is, and ways to break it."""
+    """The protocol as implemented, and broken variants of it."""
 
     AS_IS = "as it is"
     MARK_AFTER_SENDING = "mark after sending"
@@ -47,9 +47,9 @@
 class State:
     """One state; node 0 is the owner.
 
-    `sending` holds the nodes that have sent without having marked, which only
-    a broken variant does. `offers` are hand-overs under way: the holder, the
-    successor, its incarnation, and the ledger they carry.
+    `sending` holds the nodes that sent the call before marking the key as
+    dispatched, which only a broken variant does. `offers` are hand-overs in
+    transit: holder, successor, the successor's incarnation, and the ledger state.
     """
 
     ledgers: tuple[LedgerState, ...]
@@ -77,7 +77,7 @@
 
 
 def _call_steps(state: State, node: int, variant: Variant) -> list[tuple[str, State]]:
-    """Return what the holder of the key may do with the call itself."""
+    """Return the steps of the key's holder that concern the call itself."""
     held = state.ledgers[node]
     name = "ABC"[node]
     steps = []
@@ -99,8 +99,8 @@
         steps.append(
             (f"{name} sends", _replace_ledger(state, node, LedgerState.SENT, runs=runs))
         )
-        keeps = variant is Variant.SAY_NOT_RUN_WITHOUT_VOIDING
-        after = LedgerState.UNUSED if keeps else LedgerState.VOID
+        keeps_unused = variant is Variant.SAY_NOT_RUN_WITHOUT_VOIDING
+        after = LedgerState.UNUSED if keeps_unused else LedgerState.VOID
         refused = _replace_ledger(state, node, after, told_not_run=True)
         steps.append((f"{name} cannot connect, says 'not run'", refused))
     if held is LedgerState.SENT:
@@ -141,7 +141,7 @@
 def _hand_over_steps(
     state: State, node: int, variant: Variant
 ) -> list[tuple[str, State]]:
-    """Return the steps of a holder that stops as planned."""
+    """Return the steps of a holder that stops gracefully."""
     held = state.ledgers[node]
     name = "ABC"[node]
     in_flight = held in (LedgerState.MARKED, LedgerState.SENT) or node in state.sending
@@ -164,7 +164,7 @@
         if successor == node or (offered - {successor} and not second):
             continue
         if offered and not second:
-            continue  # the same offer, sent again, is already deliverable
+            continue  # a retransmitted offer is already deliverable
         offer = (node, successor, state.incarnations[successor], held)
         offers = state.offers | {offer}
         label = f"{name} offers its keys to {'ABC'[successor]}"
@@ -179,8 +179,8 @@
             incarnation == state.incarnations[successor]
             or variant is Variant.ANY_INCARNATION
         )
-        free = state.ledgers[successor] is LedgerState.ABSENT
-        if state.up[successor] and incarnation_matches and free:
+        has_no_ledger = state.ledgers[successor] is LedgerState.ABSENT
+        if state.up[successor] and incarnation_matches and has_no_ledger:
             taken = _replace_ledger(state, successor, content)
             steps.append((f"{'ABC'[successor]} takes the keys", taken))
     return steps
@@ -197,7 +197,7 @@
 
 
 def specification(variant: Variant = Variant.AS_IS) -> Protocol:
-    """Return the specification, or one of its broken variants."""
+    """Return the specification, or a broken variant of it."""
     absent = LedgerState.ABSENT
     initial = State(
         ledgers=(LedgerState.UNUSED, absent, absent),
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/model/check.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/model/check.py
@@ -1,4 +1,4 @@
-"""Check every specification and refute every broken variant."""
+"""Prove every specification and refute every broken variant."""
 
 import argparse
 import sys
@@ -15,15 +15,15 @@
 __all__ = ["Verdict", "check_all", "render"]
 
 MAX_STATES = 1_000_000
-# A counterexample is a witness wherever the search stops, so the variants that
-# must be refuted need not be searched to the end.
+# A counterexample is valid wherever the search stops, so broken variants need no
+# exhaustive search.
 MAX_STATES_BROKEN = 30_000
 SPECIFICATIONS = (at_most_once, spread, pool_parts, removals, succession)
 
 
 @dataclass
 class Verdict:
-    """What the checker found of one variant of one specification."""
+    """Result of checking one variant of a specification."""
 
     specification: str
     variant: Enum
@@ -39,13 +39,13 @@
 
     @property
     def refuted(self) -> list[str]:
-        """The properties for which there is a counterexample."""
+        """Names of the properties that have a counterexample."""
         return [
             name for name, each in self.properties.items() if each["holds"] is False
         ]
 
     def shortest_trace(self) -> list[str]:
-        """Return the labels of the shortest counterexample."""
+        """Return the step labels of the shortest counterexample."""
         traces = [
             [step["label"] for step in self.properties[name]["counterexample"][1:]]
             for name in self.refuted
@@ -54,28 +54,28 @@
 
 
 def check(module: Any, variant: Enum) -> Verdict:
-    """Check one variant of one specification."""
+    """Check one variant of a specification."""
     protocol = module.specification(variant)
     limit = MAX_STATES if variant.name == "AS_IS" else MAX_STATES_BROKEN
-    found = check_safety(protocol, max_states=limit)
+    result = check_safety(protocol, max_states=limit)
     return Verdict(
         protocol.name,
         variant,
-        found["reachable_states"],
-        found["exhaustive"],
-        found["properties"],
+        result["reachable_states"],
+        result["exhaustive"],
+        result["properties"],
     )
 
 
 def check_all() -> Iterator[Verdict]:
-    """Check everything."""
+    """Check every variant of every specification."""
     for module in SPECIFICATIONS:
         for variant in module.Variant:
             yield check(module, variant)
 
 
 def render(verdicts: list[Verdict]) -> str:
-    """Return the page of results as Markdown."""
+    """Return the results as Markdown."""
     lines = [
         "# Model checking",
         "",
@@ -104,17 +104,17 @@
 
 
 def main() -> int:
-    """Check everything; return 1 unless each verdict is as it must be."""
+    """Check all variants; return 1 unless every verdict is the expected one."""
     parser = argparse.ArgumentParser(description="Check the specifications.")
     parser.add_argument("--write", type=Path, help="file for the results")
     options = parser.parse_args()
     verdicts = []
     for verdict in check_all():
         verdicts.append(verdict)
-        words = "proved" if verdict.proved else f"refuted {verdict.refuted}"
+        outcome = "proved" if verdict.proved else f"refuted {verdict.refuted}"
         print(
             f"{verdict.specification}, {verdict.variant.value}: "
-            f"{verdict.states} states, {words}",
+            f"{verdict.states} states, {outcome}",
             flush=True,
         )
     if options.write:
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/model/pool_parts.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/model/pool_parts.py
@@ -1,9 +1,9 @@
-"""Specification: a pool's parts are given out by one scheduler at a time.
+"""Specification: a share of a pool is granted by one scheduler at a time.
 
-Two entries, each standing for one part of a pool; two nodes are looked
-upon as the scheduler, in views that differ. An entry leaves its part to one
-scheduler by a lease with a number. A lease may run out at any time; a message
-that carries it then counts as late, however long it is held up.
+Two entry instances each hold one share of a pool; two nodes are taken for the
+scheduler, since membership views differ. An entry lends its share to one scheduler
+by a numbered lease. A lease may expire at any time; a message that carries an
+expired lease counts as late, however long it was delayed.
 """
 
 from dataclasses import dataclass
@@ -22,7 +22,7 @@
 
 
 class Variant(Enum):
-    """The protocol as it is, and ways to break it."""
+    """The protocol as implemented, and broken variants of it."""
 
     AS_IS = "as it is"
     COUNT_FROM_RECEIPT = "count a lease from receipt, not from sending"
@@ -34,11 +34,11 @@
 class State:
     """One state.
 
-    `lent` says to whom an entry has left its part, or LOCAL; `lease` numbers
-    its leases, and those up to `expired` have run out. `counted` holds, for
-    each scheduler and entry, the lease that the scheduler counts on, or 0.
-    `messages` are reports under way: scheduler, entry and lease; `ends` are
-    requests to end, and `ended` their answers.
+    `lent` is the scheduler to which an entry has lent its share, or LOCAL; `lease`
+    is the number of its newest lease, and leases up to `expired` have expired.
+    `counted` holds, for each scheduler and entry, the lease that the scheduler
+    counts as valid, or 0. `messages` are lease reports in transit (scheduler, entry,
+    lease); `ends` are requests to end a lease, and `ended` their acknowledgements.
     """
 
     lent: tuple[int, ...]
@@ -68,24 +68,24 @@
     steps = []
     name = f"entry {entry}"
     lent, lease = state.lent[entry], state.lease[entry]
-    free = lent == LOCAL or variant is Variant.MOVE_WITHOUT_END
-    if free and lease < MAX_LEASES:
+    can_lend = lent == LOCAL or variant is Variant.MOVE_WITHOUT_END
+    if can_lend and lease < MAX_LEASES:
         for scheduler in range(SCHEDULERS):
             if scheduler == lent:
                 continue
-            given = _replace(
+            granted = _replace(
                 state,
                 lent=replace_item(state.lent, entry, scheduler),
                 lease=replace_item(state.lease, entry, lease + 1),
                 messages=state.messages | {(scheduler, entry, lease + 1)},
             )
-            steps.append((f"{name} leaves its part to scheduler {scheduler}", given))
+            steps.append((f"{name} leaves its part to scheduler {scheduler}", granted))
     if lent != LOCAL:
         asked = _replace(state, ends=state.ends | {(lent, entry, lease)})
         steps.append((f"{name} asks scheduler {lent} to end", asked))
         counted = state.counted
         if variant is not Variant.COUNT_FROM_RECEIPT:
-            # The scheduler's lease has run out before, by the margin.
+            # By the safety margin, the lease has expired earlier at the scheduler.
             for scheduler in range(SCHEDULERS):
                 if counted[scheduler][entry] == lease:
                     counted = _replace_counted(state, scheduler, entry, 0)
@@ -139,13 +139,13 @@
 
 
 def _count_holders(state: dict, entry: int) -> int:
-    """Count who would give out an entry's part now."""
+    """Return how many instances would grant slots of an entry's share now."""
     schedulers = sum(row[entry] > 0 for row in state["counted"])
     return schedulers + (state["lent"][entry] == LOCAL)
 
 
 def specification(variant: Variant = Variant.AS_IS) -> Protocol:
-    """Return the specification, or one of its broken variants."""
+    """Return the specification, or a broken variant of it."""
     initial = State(
         lent=(LOCAL,) * ENTRIES,
         lease=(0,) * ENTRIES,
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/model/removals.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/model/removals.py
@@ -1,11 +1,11 @@
-"""Specification: upstreams that left are dropped, and no others.
-
-Two readers, each in a zone of its own, and one upstream. The store may be down for
-so long that the upstream's registration runs out; when it is back, an upstream that
-lives registers again before the time to settle is over. A reader may be cut off from
-the store and from the other reader while the store serves that one. Times are an
-order of events: an outage that lets registrations run out lasts longer than an old
-answer vouches for the store, so every reader has noticed it by then.
+"""Specification: upstreams that left are dropped, and no live ones.
+
+Two readers, each in its own zone, and one upstream. The store may be down so long that
+the upstream's registration expires; when the store is back, a live upstream registers
+again before the settling time ends. A reader may be partitioned from the store and from
+the other reader while the store serves the other one. Time is modelled as the order of
+events: an outage long enough for registrations to expire outlasts the validity of an
+earlier answer of the store, so that every reader has noticed the outage by then.
 """
 
 from dataclasses import dataclass
@@ -22,7 +22,7 @@
 
 
 class Phase(Enum):
-    """The store: settled, down, or back for less than the time to settle."""
+    """Phase of the store: settled, down, or back for less than the settling time."""
 
     SETTLED = "settled"
     DOWN = "down"
@@ -30,7 +30,7 @@
 
 
 class Variant(Enum):
-    """The protocol as it is, and ways to break it."""
+    """The protocol as implemented, and broken variants of it."""
 
     AS_IS = "as it is"
     DOUBT_NOTHING = "drop at once what is missing after an outage"
@@ -40,12 +40,14 @@
 
 @dataclass(frozen=True)
 class State:
-    """One state; `steady` readers were answered without an outage for long.
-
-    A reader is `told` once it has heard a steady one since it came back, and
-    `assured` if it then takes the store's list for settled. `dropped_live` is set
-    when a reader drops an upstream that lives, and `doubted_left` when one that is
-    answered after it was told still doubts.
+    """One state.
+
+    A reader is `steady` if the store has answered it for long without an outage. It is
+    `told` once it has received a digest of a steady reader since its own outage ended,
+    and `assured` if it therefore takes the store's list as settled. `doubts` marks an
+    upstream that is missing from the list but kept in use. `dropped_live` is set when a
+    reader drops a live upstream, and `doubted_left` when a reader that was told still
+    doubts after an answer of the store.
     """
 
     phase: Phase
@@ -99,14 +101,14 @@
         steps.append(("the upstream leaves", gone))
     for reader in range(READERS):
         cut = replace_item(state.linked, reader, not state.linked[reader])
-        word = "is cut off" if state.linked[reader] else "is linked again"
-        steps.append((f"{NAMES[reader]} {word}", _replace(state, linked=cut)))
+        change = "is cut off" if state.linked[reader] else "is linked again"
+        steps.append((f"{NAMES[reader]} {change}", _replace(state, linked=cut)))
     return steps
 
 
 def _read(state: State, reader: int, variant: Variant) -> State:
-    """Return the state after the store has answered a reader."""
-    returns = state.away[reader]
+    """Return the state after the store answered a reader."""
+    ends_outage = state.away[reader]
     after = _replace(state, away=replace_item(state.away, reader, False))
     if state.listed:
         return _replace(
@@ -116,9 +118,9 @@
         )
     if not state.uses[reader]:
         return after
-    must_doubt = returns and variant is not Variant.DOUBT_NOTHING
+    must_doubt = ends_outage and variant is not Variant.DOUBT_NOTHING
     if must_doubt or (state.doubts[reader] and not state.assured[reader]):
-        late = state.told[reader] and not returns
+        late = state.told[reader] and not ends_outage
         return _replace(
             after,
             doubts=replace_item(after.doubts, reader, True),
@@ -128,7 +130,7 @@
 
 
 def _receive_digest(state: State, reader: int, other: int, variant: Variant) -> State:
-    """Return the state after a reader has heard another one's digest."""
+    """Return the state after a reader received the digest of the other one."""
     vouches = state.steady[other]
     told = replace_item(state.told, reader, state.told[reader] or vouches)
     if variant is Variant.BELIEVE_ANY_ANSWER:
@@ -141,8 +143,8 @@
 
 def _reader_steps(state: State, reader: int, variant: Variant) -> Steps:
     name = NAMES[reader]
-    reaches = state.linked[reader] and state.phase is not Phase.DOWN
-    if not reaches:
+    reaches_store = state.linked[reader] and state.phase is not Phase.DOWN
+    if not reaches_store:
         away = _replace(
             state,
             away=replace_item(state.away, reader, True),
@@ -156,8 +158,8 @@
         return steps
     other = 1 - reader
     if state.linked[other]:
-        heard = _receive_digest(state, reader, other, variant)
-        steps.append((f"{name} hears {NAMES[other]}", heard))
+        received = _receive_digest(state, reader, other, variant)
+        steps.append((f"{name} hears {NAMES[other]}", received))
     if state.phase is Phase.SETTLED:
         steady = _replace(state, steady=replace_item(state.steady, reader, True))
         steps.append((f"{name} has long been answered", steady))
@@ -167,7 +169,7 @@
 
 
 def specification(variant: Variant = Variant.AS_IS) -> Protocol:
-    """Return the specification, or one of its broken variants."""
+    """Return the specification, or a broken variant of it."""
     initial = State(
         phase=Phase.SETTLED,
         lives=True,
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/model/spread.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/model/spread.py
@@ -1,8 +1,8 @@
-"""Specification: records spread and never revert.
+"""Specification: configurations reach all nodes and never revert.
 
-Three nodes, a platform that publishes numbers 1 to 3, and a service that may
-show any number published so far. A node may restart as long as some ready
-node stays up, for nothing outlasts the whole fleet.
+Three nodes, a platform that publishes configurations 1 to 3, and a configuration
+service that may serve any number published so far. A node may restart only while
+another ready node stays up, since no state survives the loss of the whole fleet.
 """
 
 from dataclasses import dataclass
@@ -19,7 +19,7 @@
 
 
 class Variant(Enum):
-    """The protocol as it is, and ways to break it."""
+    """The protocol as implemented, and broken variants of it."""
 
     AS_IS = "as it is"
     ADOPT_WHAT_COMES_LAST = "adopt whatever comes last, as by a timestamp"
@@ -28,12 +28,12 @@
 
 @dataclass(frozen=True)
 class State:
-    """One state; `held` is 0 before a node has any records.
+    """One state; `held` is 0 before a node has any configuration.
 
-    `heard` marks the nodes that some ready peer has answered since they
-    started, and which are part of the fleet from then on. `everywhere` is the
-    highest number that all of the fleet have held at once; `reverted` is set
-    when a node's number goes down.
+    `heard` marks the nodes that a ready peer has answered since they started, which
+    are members of the fleet from then on. `everywhere` is the highest number that all
+    members have held at the same time; `reverted` is set when a node's number
+    decreases.
     """
 
     published: int
@@ -52,8 +52,8 @@
     fields = {name: getattr(state, name) for name in FIELDS}
     fields.update(changes)
     after = State(**fields)
-    part_of_fleet = zip(after.held, after.heard, strict=True)
-    in_force = [number for number, heard in part_of_fleet if heard]
+    members = zip(after.held, after.heard, strict=True)
+    in_force = [number for number, heard in members if heard]
     fields["everywhere"] = max(after.everywhere, min(in_force, default=0))
     return State(**fields)
 
@@ -61,10 +61,10 @@
 def _offer_config(
     state: State, node: int, number: int, variant: Variant, **changes
 ) -> State:
-    """Return the state after a node is offered a set."""
+    """Return the state after a node was offered a configuration."""
     current = state.held[node]
-    always = variant is Variant.ADOPT_WHAT_COMES_LAST
-    adopted = number if number > current or always else current
+    adopts_any = variant is Variant.ADOPT_WHAT_COMES_LAST
+    adopted = number if number > current or adopts_any else current
     return _replace(
         state,
         held=replace_item(state.held, node, adopted),
@@ -97,14 +97,14 @@
         if peer == node or not state.ready[peer] or not state.held[peer]:
             continue
         heard = replace_item(state.heard, node, True)
-        told = _offer_config(state, node, state.held[peer], variant, heard=heard)
-        steps.append((f"{name} hears from {'ABC'[peer]}", told))
-    asked = state.heard[node] or variant is Variant.SERVE_BEFORE_ASKING_PEERS
-    if not state.ready[node] and state.held[node] and asked:
+        received = _offer_config(state, node, state.held[peer], variant, heard=heard)
+        steps.append((f"{name} hears from {'ABC'[peer]}", received))
+    may_serve = state.heard[node] or variant is Variant.SERVE_BEFORE_ASKING_PEERS
+    if not state.ready[node] and state.held[node] and may_serve:
         ready = _replace(state, ready=replace_item(state.ready, node, True))
         steps.append((f"{name} begins to serve", ready))
-    others = any(ready for peer, ready in enumerate(state.ready) if peer != node)
-    if others:
+    others_ready = any(ready for peer, ready in enumerate(state.ready) if peer != node)
+    if others_ready:
         new = _replace(
             state,
             held=replace_item(state.held, node, 0),
@@ -116,7 +116,7 @@
 
 
 def specification(variant: Variant = Variant.AS_IS) -> Protocol:
-    """Return the specification, or one of its broken variants."""
+    """Return the specification, or a broken variant of it."""
     initial = State(
         published=1,
         shown=1,
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/model/succession.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/model/succession.py
@@ -1,10 +1,11 @@
-"""Specification: nobody goes by old word for long when its zone's speaker changes.
-
-Three instances of one zone; A is the first in the order of speakers, then B, then C.
-An instance goes by its own reading, or by the word of the one that it follows. Time
-goes by in ticks; between two, datagrams may arrive in any order, or never. A may leave
-as planned, saying so for as long as it lives, and any instance may die. What is left
-out: that an instance which hears nothing for long reads whoever speaks, which hides it.
+"""Specification: reports in use stay fresh while a zone's speaker changes.
+
+Three instances of one zone; in the order of election A comes first, then B, then C. An
+instance uses its own reading of the store if it is the speaker, and otherwise the
+report of the speaker that it follows. Time passes in ticks; between two ticks datagrams
+may arrive in any order, or never. A may leave gracefully, announcing it as long as it
+lives, and any instance may die. Not modelled: an instance that receives nothing for
+long reads from any instance that speaks, which would hide the failure.
 """
 
 from dataclasses import dataclass
@@ -18,8 +19,8 @@
 
 NAMES = "ABC"
 INSTANCES = range(len(NAMES))
-# Ticks of silence after which a speaker is taken to be gone, and how many more each
-# instance defers for those before it in the order, by its place.
+# Ticks of silence after which a speaker is presumed gone, and the additional ticks that
+# an instance waits for those before it in the order, by its position.
 SILENCE_TICKS = 2
 STAGGER_TICKS = (0, 0, 1)
 MAX_AGE_TICKS = SILENCE_TICKS + max(STAGGER_TICKS)
@@ -27,7 +28,7 @@
 
 
 class Life(Enum):
-    """An instance serves, says that it leaves, or has ended."""
+    """An instance serves, announces that it leaves, or has ended."""
 
     SERVES = "serves"
     LEAVES = "leaves"
@@ -35,7 +36,7 @@
 
 
 class Variant(Enum):
-    """The protocol as it is, and ways to break it."""
+    """The protocol as implemented, and broken variants of it."""
 
     AS_IS = "as it is"
     LEAVE_BEGINS_WAIT = "begin the wait for the next speaker with each leave"
@@ -45,10 +46,10 @@
 
 @dataclass(frozen=True)
 class State:
-    """One state; `follows` names itself where an instance speaks.
+    """One state; an instance that speaks `follows` itself.
 
-    `silent` counts the ticks for which an instance believes its speaker to be silent,
-    `age` those since what it goes by was read.
+    `silent` counts the ticks for which an instance takes its speaker to be silent,
+    `age` the ticks since the report that it uses was read from the store.
     """
 
     life: tuple[Life, ...]
@@ -75,7 +76,7 @@
 
 
 def _tick(state: State, variant: Variant) -> State:
-    """Return the state after a tick: silent speakers are followed."""
+    """Return the state after a tick; silent speakers are succeeded."""
     after = state
     for instance in INSTANCES:
         if state.life[instance] is Life.ENDED or _speaks(state, instance):
@@ -107,7 +108,7 @@
 
 
 def _message_steps(state: State, instance: int, variant: Variant) -> Steps:
-    """Return what may reach an instance from the others."""
+    """Return the messages of other instances that may reach an instance."""
     steps = []
     for other in INSTANCES:
         if other == instance or state.life[other] is Life.ENDED:
@@ -143,7 +144,7 @@
 
 
 def _relayed_steps(state: State, instance: int, other: int, variant: Variant) -> Steps:
-    """Return what follows where an instance asks one that does not speak."""
+    """Return the step of an instance that asks another one that does not speak."""
     speaker = state.follows[other]
     if (
         speaker == instance
@@ -169,7 +170,7 @@
 
 
 def specification(variant: Variant = Variant.AS_IS) -> Protocol:
-    """Return the specification, or one of its broken variants."""
+    """Return the specification, or a broken variant of it."""
     initial = State(
         life=(Life.SERVES,) * len(INSTANCES),
         follows=(0,) * len(INSTANCES),
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/model/tuples.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/model/tuples.py
@@ -1,4 +1,4 @@
-"""Tuples as the states of specifications."""
+"""Helper for tuples in the states of specifications."""
 
 from typing import Any
 
@@ -6,5 +6,5 @@
 
 
 def replace_item(values: tuple, index: int, value: Any) -> tuple:
-    """Return the tuple with one value replaced."""
+    """Return a copy of a tuple with the item at an index replaced."""
     return (*values[:index], value, *values[index + 1 :])
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/tests/test_model.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/tests/test_model.py
@@ -1,4 +1,4 @@
-"""Model checking: what holds is proved, each broken variant is refuted."""
+"""Model checking proves the specifications and refutes their broken variants."""
 
 import pytest
 
@@ -16,7 +16,7 @@
 
 
 @pytest.mark.parametrize(("module", "variant"), VARIANTS)
-def test_verdict(module, variant):
+def test_specification_is_proved_and_broken_variant_refuted(module, variant):
     verdict = check(module, variant)
     if variant.name == "AS_IS":
         assert verdict.exhaustive
