--- a/packages/buckthornwall-standins/src/buckthornwall_standins/model/at_most_once.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/model/at_most_once.py
@@ -1,9 +1,10 @@
 """Specification: a call under an idempotency key runs at most once.
 
-Keys name the node that owns them. One key issued by the first incarnation of node A; nodes B and C may become its
-successors. A request for the key may arrive at any node at any time and any number
-of times, which covers retries through any node, duplicated and delayed messages,
-freezes and network partitions. A message once sent stays deliverable forever.
+A key names the node that owns it. There is one key, issued by the first incarnation of
+node A; nodes B and C may become its successors. A request for the key may arrive at any
+node at any time and any number of times, which covers retries through any node,
+duplicated and delayed messages, freezes and network partitions. A message once sent
+stays deliverable forever.
 """
 
 from dataclasses import dataclass
