--- a/packages/buckthornwall-standins/src/buckthornwall_standins/memory.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/memory.py
@@ -1,7 +1,7 @@
-"""A network in memory: streams between hosts that can be held, cut and killed.
+"""An in-memory network: streams between hosts that can be delayed, cut and reset.
 
-Everything above it is the real code: the HTTP client, the stand-ins' own
-applications, and the codec of the links. It runs under trio's mock clock.
+Everything above it is production code (HTTP client, codec of the links) or the
+stand-ins' own applications. It runs under trio's mock clock.
 """
 
 from collections import deque
@@ -13,7 +13,7 @@
 
 LATENCY_S = 0.0005
 READ_BYTES = 65536
-REDIAL_S = 0.05
+REDIAL_INTERVAL_S = 0.05
 
 Handler = Callable[["Stream"], Awaitable[None]]
 
@@ -30,15 +30,15 @@
         self.held: deque[bytes] = deque()
         self.ended = False
         self.reset = False
-        self.end_held: bool | None = None
+        self.held_close: bool | None = None
         self.wake = trio.Event()
 
     def _notify(self) -> None:
         self.wake.set()
         self.wake = trio.Event()
 
-    def arrive(self, data: bytes) -> None:
-        """Take bytes from the other end; hold them while the way is blocked."""
+    def receive(self, data: bytes) -> None:
+        """Receive bytes from the peer; hold them while the path is blocked."""
         if self.network.is_blocked(self.host, self.peer_host):
             self.held.append(data)
         elif not self.ended:
@@ -46,91 +46,94 @@
             self._notify()
 
     def release(self) -> None:
-        """Take in what was held, if the way is free again."""
+        """Deliver held bytes and a held close if the path is open again."""
         if not self.network.is_blocked(self.host, self.peer_host):
             while self.held:
                 self.buffer += self.held.popleft()
-            if self.end_held is not None:
-                self.end(self.end_held)
+            if self.held_close is not None:
+                self.receive_close(self.held_close)
             self._notify()
 
-    def end(self, reset: bool) -> None:
-        """See the other end's close, or hold it while the way is blocked."""
+    def receive_close(self, reset: bool) -> None:
+        """Receive the peer's close, or hold it while the path is blocked."""
         if self.network.is_blocked(self.host, self.peer_host):
-            self.end_held = reset
+            self.held_close = reset
             return
         self.ended = True
         self.reset = self.reset or reset
         self._notify()
 
     async def send_all(self, data: bytes) -> None:
-        """Send bytes."""
+        """Send bytes to the peer."""
         await trio.sleep(LATENCY_S)
         if self.reset or self.ended:
-            raise trio.BrokenResourceError("the other end has closed")
-        self.peer.arrive(bytes(data))
+            raise trio.BrokenResourceError("stream closed by the peer")
+        self.peer.receive(bytes(data))
 
     async def receive_some(self, limit: int = READ_BYTES) -> bytes:
-        """Wait for bytes; empty when the other end has closed."""
+        """Wait for bytes; return none once the peer has closed."""
         while not self.buffer and not self.ended:
             await self.wake.wait()
         await trio.lowlevel.checkpoint()
         if not self.buffer and self.reset:
-            raise trio.BrokenResourceError("reset by the other end")
+            raise trio.BrokenResourceError("connection reset by the peer")
         data = bytes(self.buffer[:limit])
         del self.buffer[:limit]
         return data
 
     def close(self, reset: bool = False) -> None:
-        """Close this end; the other sees it unless the way is blocked."""
+        """Close this end; the peer is notified once the path is open."""
         self.ended = True
         self.network.streams.discard(self)
-        self.peer.end(reset)
+        self.peer.receive_close(reset)
         self._notify()
 
 
 class MemoryNetwork:
-    """Hosts, listeners and the state of the ways between them."""
+    """Hosts, listeners and the state of the paths between hosts."""
 
     def __init__(self) -> None:
         self.listeners: dict[tuple[str, int], tuple[Handler, trio.Nursery]] = {}
         self.streams: set[Stream] = set()
-        self.cuts: set[frozenset[str]] = set()
+        self.cut_paths: set[frozenset[str]] = set()
         self.frozen: set[str] = set()
-        self.dead: set[str] = set()
+        self.killed: set[str] = set()
 
     def is_blocked(self, one: str, other: str) -> bool:
-        """Tell whether nothing passes between two hosts now."""
+        """Return whether the path between two hosts is blocked."""
         return (
-            frozenset((one, other)) in self.cuts
+            frozenset((one, other)) in self.cut_paths
             or one in self.frozen
             or other in self.frozen
         )
 
     def listen(self, address: str, handler: Handler, nursery: trio.Nursery) -> None:
-        """Serve connections to an address by a handler."""
+        """Serve connections to an address with a handler."""
         host, port = address.rsplit(":", 1)
         self.listeners[host, int(port)] = (handler, nursery)
 
     def close_listener(self, address: str) -> None:
-        """Refuse connections to an address from now on."""
+        """Refuse new connections to an address."""
         host, port = address.rsplit(":", 1)
         self.listeners.pop((host, int(port)), None)
 
     async def connect(self, from_host: str, host: str, port: int) -> Stream:
-        """Open a connection; hang while the way is blocked."""
+        """Open a connection; block while the path is blocked."""
         await trio.sleep(LATENCY_S)
         while self.is_blocked(from_host, host):
-            await trio.sleep(REDIAL_S)
+            await trio.sleep(REDIAL_INTERVAL_S)
         listener = self.listeners.get((host, port))
-        if listener is None or host in self.dead:
+        if listener is None or host in self.killed:
             raise OSError("connection refused")
         handler, nursery = listener
-        near, far = Stream(self, from_host, host), Stream(self, host, from_host)
-        near.peer, far.peer = far, near
-        self.streams |= {near, far}
-        nursery.start_soon(self._serve, handler, far)
-        return near
+        client_end, server_end = (
+            Stream(self, from_host, host),
+            Stream(self, host, from_host),
+        )
+        client_end.peer, server_end.peer = server_end, client_end
+        self.streams |= {client_end, server_end}
+        nursery.start_soon(self._serve, handler, server_end)
+        return client_end
 
     @staticmethod
     async def _serve(handler: Handler, stream: Stream) -> None:
@@ -142,36 +145,36 @@
             stream.close()
 
     def cut(self, one: str, other: str) -> None:
-        """Let nothing through between two hosts, silently."""
-        self.cuts.add(frozenset((one, other)))
+        """Drop the path between two hosts without closing connections."""
+        self.cut_paths.add(frozenset((one, other)))
 
     def freeze(self, host: str) -> None:
-        """Let nothing in or out of a host."""
+        """Block all traffic of a host."""
         self.frozen.add(host)
 
     def heal(self) -> None:
-        """Undo every cut, and let through what was held."""
-        self.cuts.clear()
+        """Undo every cut and deliver held bytes."""
+        self.cut_paths.clear()
         self.release()
 
     def thaw(self, host: str) -> None:
-        """Undo a freeze, and let through what was held."""
+        """Undo a freeze and deliver held bytes."""
         self.frozen.discard(host)
         self.release()
 
     def release(self) -> None:
-        """Let through whatever is no longer blocked."""
+        """Deliver held bytes on paths that are no longer blocked."""
         for stream in list(self.streams):
             stream.release()
 
     def kill(self, host: str) -> None:
-        """Close every connection of a host, and its listeners, at once."""
-        self.dead.add(host)
+        """Reset every connection of a host and close its listeners."""
+        self.killed.add(host)
         for key in [key for key in self.listeners if key[0] == host]:
             del self.listeners[key]
         for stream in [each for each in self.streams if each.host == host]:
             stream.close(reset=True)
 
     def revive(self, host: str) -> None:
-        """Let a killed host listen again."""
-        self.dead.discard(host)
+        """Let a killed host accept connections again."""
+        self.killed.discard(host)
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/memory_fleet.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/memory_fleet.py
@@ -1,8 +1,8 @@
-"""A whole deployment in one trio run, on the network in memory.
+"""A whole deployment in one trio run, on the in-memory network.
 
 Instances are real `Node` objects with real HTTP clients; engines, service and
-platform are the stand-ins' own applications. Under trio's mock clock a minute
-of the fleet takes well under a second.
+platform are the stand-ins' own applications. Under trio's mock clock a simulated
+minute takes well under a second.
 """
 
 import random
@@ -82,9 +82,9 @@
 
 
 def make_deterministic(seed: int) -> None:
-    """Make ids, jitter and trio's choice among ready tasks repeat themselves.
+    """Make ids, jitter and trio's choice among runnable tasks reproducible.
 
-    trio has no public switch for the last; the two names below are the ones
+    trio has no public switch for its scheduling; the two private names are those
     that its own hypothesis plugin uses.
     """
     random.seed(seed)
@@ -94,30 +94,30 @@
 
 
 class PausableClock:
-    """trio's clock as one host sees it, standing still while it is frozen.
+    """trio's clock as one host sees it; it stands still while the host is frozen.
 
-    A frozen process reads no clock; the first reading after it wakes shows
-    the whole gap at once.
+    A frozen process reads no clock; its first reading after the freeze jumps by the
+    whole duration.
     """
 
     def __init__(self) -> None:
         self.frozen_at: float | None = None
 
     def now(self) -> float:
-        """Return monotonic seconds."""
+        """Return the monotonic time in seconds."""
         return trio.current_time() if self.frozen_at is None else self.frozen_at
 
     def freeze(self) -> None:
-        """Stand still."""
+        """Stop the clock."""
         self.frozen_at = trio.current_time()
 
     def thaw(self) -> None:
-        """Run on, with the gap."""
+        """Resume the clock, with a jump by the frozen time."""
         self.frozen_at = None
 
 
 class MemoryNode:
-    """One instance: a `Node`, its host and clock, and the scope it runs in."""
+    """One instance: a `Node`, its host and clock, and its cancel scope."""
 
     def __init__(self, node_id: str, zone: str, host: str) -> None:
         self.id = node_id
@@ -136,16 +136,16 @@
 
 
 class MemoryFleet:
-    """Every part of a deployment; the same names as `Fleet` where it can be.
+    """A deployment in memory, with the interface of `Fleet` where possible.
 
     Parameters
     ----------
     deployment
-        Sizes and records.
+        Sizes and configuration records.
     engine_model
-        How fast the engines are.
+        Speed of the engines.
     scheduling
-        Mode that the records give to every pool.
+        Scheduling mode of every pool.
     """
 
     def __init__(
@@ -182,7 +182,7 @@
     @classmethod
     @asynccontextmanager
     async def running(cls, *args, **kwargs) -> AsyncIterator["MemoryFleet"]:
-        """Start everything, and cancel everything afterwards."""
+        """Start the deployment, and cancel its tasks afterwards."""
         fleet = cls(*args, **kwargs)
         async with trio.open_nursery() as fleet.nursery:
             await fleet.start()
@@ -190,7 +190,7 @@
             fleet.nursery.cancel_scope.cancel()
 
     async def start(self) -> None:
-        """Start every part and wait until every instance is ready."""
+        """Start all parts and wait until all instances are ready."""
         self._serve(self.platform_address, json_app(self.platform.routes()))
         self.nursery.start_soon(self.platform.probe_forever)
         for pool, count in self.deployment.pools.items():
@@ -222,7 +222,7 @@
         self.nursery.start_soon(engine.report_forever)
 
     def start_node(self, node: MemoryNode) -> None:
-        """Start an instance, or start it anew as another incarnation."""
+        """Start an instance, or restart it as a new incarnation."""
         self.network.revive(node.host)
         text = SETTINGS.format(
             id=node.id, zone=node.zone, host=node.host, platform=PLATFORM_HOST
@@ -261,7 +261,7 @@
             nursery.cancel_scope.cancel()
 
     async def _record_config_numbers(self) -> None:
-        """Note every number that each instance serves under."""
+        """Record each configuration number that an instance serves with."""
         while True:
             for node in self.nodes:
                 if not node.node.is_ready():
@@ -274,12 +274,12 @@
     async def wait_until(
         self, condition, limit_s: float = WAIT_TIMEOUT_S, poll_s: float = POLL_S
     ) -> None:
-        """Wait for a condition; TooSlowError if it does not come."""
+        """Wait until a condition holds; raise TooSlowError after `limit_s`."""
         with trio.fail_after(limit_s):
             while not condition():
                 await trio.sleep(poll_s)
 
-    # What operators do
+    # Actions of operators
 
     def upstream_records(self) -> list[dict[str, Any]]:
         """Return the records of the engines and the service."""
@@ -296,73 +296,73 @@
         return [*records, service]
 
     def records(self, number: int) -> dict[str, Any]:
-        """Return the deployment's records under a number."""
+        """Return the deployment's configuration with a number."""
         return make_records(
             self.deployment, number, self.upstream_records(), self.scheduling
         )
 
     def publish(self, number: int, records: dict[str, Any] | None = None) -> None:
-        """Make the platform serve a set, whatever its number."""
+        """Make the platform serve a configuration, whatever its number."""
         raw = msgspec.json.encode(records or self.records(number))
         self.platform.publish(raw)
 
     def publish_instances(self) -> None:
-        """Tell the platform which instances there are."""
-        known = [
+        """Publish the list of instances and upstreams on the platform."""
+        entries = [
             make_instance_entry(
                 node.id, node.peer_address, node.zone, node.operator_address
             )
             for node in self.nodes
         ]
-        known += [
+        entries += [
             make_upstream_entry(
                 engine_id, "engine", f"{host}:90", engine_id in self.leaving
             )
             for engine_id, host in self.engine_hosts.items()
         ]
-        self.platform.instances = {each["id"]: each for each in known}
+        self.platform.instances = {each["id"]: each for each in entries}
         self.platform.publish_list()
 
     async def get_json(self, address: str, path: str) -> Any:
-        """Return the JSON that a part serves at a path."""
+        """Return the JSON served at an address and path."""
         response = await self.http.request("GET", f"http://{address}{path}")
         return msgspec.json.decode(response.content)
 
-    # Disturbances
+    # Faults
 
     def running_nodes(self) -> list[MemoryNode]:
-        """Return the instances that run."""
+        """Return the instances that were neither killed nor stopped."""
         return [each for each in self.nodes if not (each.killed or each.stopped)]
 
     def kill(self, node: MemoryNode) -> None:
-        """End an instance without warning."""
+        """Kill an instance."""
         node.killed = True
         node.scope.cancel()
         self.network.kill(node.host)
 
     def freeze(self, node: MemoryNode) -> None:
-        """Let an instance stand still."""
+        """Freeze an instance: its clock stops and its traffic is blocked."""
         node.clock.freeze()
         self.network.freeze(node.host)
 
     def thaw(self, node: MemoryNode) -> None:
-        """Let a frozen instance run on."""
+        """Resume a frozen instance."""
         node.clock.thaw()
         self.network.thaw(node.host)
 
     def crash_engine(self, engine_id: str) -> None:
-        """End an engine without warning; what it counted stays readable."""
+        """Crash an engine; its counts stay readable."""
         self.network.kill(self.engine_hosts[engine_id])
 
     def restart_engine(self, engine_id: str) -> None:
-        """Let a crashed engine serve again."""
+        """Restart a crashed engine."""
         host = self.engine_hosts[engine_id]
-        if host in self.network.dead:
+        if host in self.network.killed:
             self.network.revive(host)
             self._serve(f"{host}:90", json_app(self.engines[engine_id].routes()))
 
     async def stop(self, node: MemoryNode) -> None:
-        """Stop an instance as planned and wait until it has left."""
+        """Stop an instance gracefully and wait until it has ended."""
         node.stopped = True
         node.node.stopping.set()
         with trio.fail_after(WAIT_TIMEOUT_S):
@@ -370,7 +370,7 @@
         self.network.kill(node.host)
 
     def find_scheduler(self, pool: str) -> MemoryNode:
-        """Return the instance that most others leave their part of a pool to."""
+        """Return the instance to which most instances lend their share of a pool."""
         votes: dict[str, int] = {}
         for node in self.running_nodes():
             lease = node.node.entry.share_leases.leases.get(pool)
@@ -379,18 +379,18 @@
         winner = max(votes, key=votes.get)
         return next(node for node in self.nodes if node.id == winner)
 
-    # What the stand-ins counted
+    # Counts of the stand-ins
 
     def engine_counts(self) -> list[dict[str, Any]]:
-        """Return what every engine counted."""
+        """Return the counts of every engine."""
         return [engine.get_counts() for engine in self.engines.values()]
 
     def service_counts(self) -> dict[str, int]:
-        """Return how often the service was called for each order."""
+        """Return the number of service calls for each order."""
         return self.service.confirmed
 
     def started_nonces(self) -> set[str]:
-        """Return every nonce that any engine began."""
+        """Return the nonces of all requests that an engine started."""
         return {
             nonce for engine in self.engines.values() for nonce in engine.token_ranges
         }
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/memory_http.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/memory_http.py
@@ -1,4 +1,4 @@
-"""HTTP over the network in memory: a client backend and a small server."""
+"""HTTP over the in-memory network: a client backend and a small server."""
 
 from collections.abc import Iterable
 from typing import Any
@@ -46,7 +46,7 @@
 
 
 class MemoryBackend(httpcore.AsyncNetworkBackend):
-    """Lets an httpcore pool of one host use the network in memory."""
+    """Network backend with which an httpcore pool of a host uses the network."""
 
     def __init__(self, network: MemoryNetwork, host: str) -> None:
         self.network = network
@@ -60,7 +60,7 @@
         local_address: str | None = None,
         socket_options: Iterable | None = None,
     ) -> httpcore.AsyncNetworkStream:
-        """Open a connection."""
+        """Open a connection to a host and port."""
         try:
             with trio.fail_after(timeout or float("inf")):
                 stream = await self.network.connect(self.host, host, port)
@@ -71,12 +71,12 @@
         return _BackendStream(stream)
 
     async def sleep(self, seconds: float) -> None:
-        """Wait."""
+        """Sleep for a number of seconds."""
         await trio.sleep(seconds)
 
 
 async def serve_http(app: Any, stream: Stream) -> None:
-    """Serve an ASGI application on one connection, request after request."""
+    """Serve an ASGI application on one persistent connection."""
     connection = h11.Connection(h11.SERVER)
     while connection.our_state is not h11.MUST_CLOSE:
         request = await _next_event(connection, stream)
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/memory_hub.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/memory_hub.py
@@ -1,4 +1,4 @@
-"""Links between instances over the network in memory."""
+"""Links between instances over the in-memory network."""
 
 from collections import deque
 from collections.abc import Callable
@@ -9,15 +9,15 @@
 from buckthornwall.links import LinkSettings, Message, decode_batch, encode_batch
 from buckthornwall.utils import Incarnation, NodeId
 
-from .memory import REDIAL_S, MemoryNetwork, Stream
+from .memory import REDIAL_INTERVAL_S, MemoryNetwork, Stream
 
 __all__ = ["MemoryHub"]
 
-FRAME_HEAD = 4
+FRAME_HEADER_BYTES = 4
 
 
 class _MemoryLink:
-    """One dialled peer."""
+    """Link to one dialled peer."""
 
     def __init__(self, node: NodeId, address: str) -> None:
         self.node = node
@@ -29,7 +29,7 @@
 
 
 class MemoryHub:
-    """A `LinkHub` on the network in memory: same messages, same codec."""
+    """A `LinkHub` on the in-memory network, with the same messages and codec."""
 
     def __init__(
         self,
@@ -50,7 +50,7 @@
         self.links: dict[NodeId, _MemoryLink] = {}
 
     def send(self, node: NodeId, message: Message) -> bool:
-        """Queue a message; see `LinkHub.send`."""
+        """Queue a message for a peer; see `LinkHub.send`."""
         if node == self.node:
             self.deliver(node, message)
             return True
@@ -62,11 +62,11 @@
         return True
 
     def is_up(self, node: NodeId) -> bool:
-        """Tell whether a link stands."""
+        """Return whether the link to a peer is up."""
         return node == self.node or (node in self.links and self.links[node].up)
 
     def set_peer(self, node: NodeId, address: str) -> None:
-        """Dial a peer."""
+        """Dial a peer, again if its address changed."""
         link = self.links.get(node)
         if node == self.node or (link is not None and link.address == address):
             return
@@ -76,7 +76,7 @@
         self.nursery.start_soon(self._dial_forever, link)
 
     async def run(self, *, task_status=trio.TASK_STATUS_IGNORED) -> None:
-        """Listen and keep every link until cancelled."""
+        """Accept links and maintain dialled ones until cancelled."""
         async with trio.open_nursery() as self.nursery:
             self.network.listen(self.settings.listen, self._accept, self.nursery)
             task_status.started()
@@ -95,11 +95,11 @@
                     link.up = False
                     link.queue.clear()
                     self.on_down(link.node)
-                await trio.sleep(REDIAL_S)
+                await trio.sleep(REDIAL_INTERVAL_S)
 
     async def _send_forever(self, link: _MemoryLink, stream: Stream) -> None:
         name = f"{self.node}|{self.settings.listen}".encode()
-        await stream.send_all(len(name).to_bytes(FRAME_HEAD) + name)
+        await stream.send_all(len(name).to_bytes(FRAME_HEADER_BYTES) + name)
         link.up = True
         self.on_up(link.node)
         async with trio.open_nursery() as nursery:
@@ -111,7 +111,9 @@
                 frame = encode_batch(link.queue)
                 link.queue.clear()
                 try:
-                    await stream.send_all(len(frame).to_bytes(FRAME_HEAD) + frame)
+                    await stream.send_all(
+                        len(frame).to_bytes(FRAME_HEADER_BYTES) + frame
+                    )
                 except trio.BrokenResourceError:
                     break
             nursery.cancel_scope.cancel()
@@ -143,12 +145,12 @@
 async def _read_frame(stream: Stream) -> bytes:
     """Return one frame; empty at the end of the stream."""
     data = bytearray()
-    size = FRAME_HEAD
+    size = FRAME_HEADER_BYTES
     while len(data) < size:
-        part = await stream.receive_some(size - len(data))
-        if not part:
+        chunk = await stream.receive_some(size - len(data))
+        if not chunk:
             return b""
-        data += part
-        if size == FRAME_HEAD and len(data) == FRAME_HEAD:
+        data += chunk
+        if size == FRAME_HEADER_BYTES and len(data) == FRAME_HEADER_BYTES:
             size += int.from_bytes(data)
-    return bytes(data[FRAME_HEAD:])
+    return bytes(data[FRAME_HEADER_BYTES:])
