--- a/packages/buckthornwall-standins/src/buckthornwall_standins/asgi.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/asgi.py
@@ -1,4 +1,4 @@
-"""Serve a stand-in's ASGI application from the command line."""
+"""ASGI applications of the stand-ins, and their server."""
 
 import signal
 from collections.abc import Awaitable, Callable
@@ -14,9 +14,9 @@
 
 
 def json_app(routes: dict[str, Handler]):
-    """Return an ASGI application that picks a handler by path prefix.
+    """Return an ASGI application that routes requests by path prefix.
 
-    The longest prefix that fits wins; anything else is a plain 404.
+    The longest matching prefix wins; a path that matches none gets a 404.
     """
     ordered = sorted(routes, key=len, reverse=True)
 
@@ -43,7 +43,7 @@
 
 
 async def serve_until_signal(app, listen: str, *tasks) -> None:
-    """Serve on `listen`, beside `tasks`, until SIGTERM or SIGINT."""
+    """Serve on `listen` and run `tasks` until SIGTERM or SIGINT."""
     config = Config()
     config.bind = [listen]
     config.errorlog = None
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/engine.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/engine.py
@@ -1,8 +1,8 @@
-"""A model engine: continuous batching, priorities, a prefix cache, late reports.
+"""Stand-in of a model engine: continuous batching, priorities, prefix cache, load lag.
 
-The answer to a prompt that holds ``nonce=N length=L`` is the words ``N.0`` to
-``N.L-1``, one token each, so that a caller can tell whose answer it got and
-whether it is whole. A prompt that ends with a part of the answer is continued.
+The completion of a prompt that holds ``nonce=N length=L`` is the words ``N.0`` to
+``N.L-1``, one token each, so that a caller can verify that the response is its own and
+complete. A prompt that ends with a part of the completion is continued.
 """
 
 import argparse
@@ -23,15 +23,15 @@
 
 MAX_BODY_BYTES = 2**21
 PROMPT_PATTERN = re.compile(r"nonce=(\w+) length=(\d+)")
-CHARS_PER_TOKEN = 4
+BODY_BYTES_PER_TOKEN = 4
 FENCING_HEADER = "x-fencing-number"
 
 
 class EngineModel(msgspec.Struct, kw_only=True):
-    """How fast the engine is; times in milliseconds or as said.
+    """Speed of an engine.
 
-    A step takes ``step_ms + running * load_ms``, and each token of a prompt
-    that is not in the prefix cache delays it by `prefill_us` more.
+    A step takes ``step_ms + running * load_ms`` milliseconds, and `prefill_us`
+    microseconds more for each prompt token that is not in the prefix cache.
     """
 
     slots: int = 4
@@ -43,7 +43,7 @@
 
 
 class Sequence:
-    """One answer that is being generated."""
+    """One completion that is being generated."""
 
     def __init__(self, nonce: str, start: int, length: int, priority: int) -> None:
         self.nonce = nonce
@@ -62,21 +62,21 @@
 
     @property
     def finished(self) -> bool:
-        """Whether the answer is whole."""
+        """Whether all tokens are generated."""
         return self.next_token >= self.end
 
 
 class Engine:
-    """State and tasks of the stand-in.
+    """State, handlers and tasks of the stand-in.
 
     Parameters
     ----------
     name
-        Id of the engine.
+        Identifier of the engine.
     model
-        How fast it is.
+        Speed of the engine.
     fencing
-        Whether it refuses an order with an old fencing number.
+        Whether it refuses an adapter order with an outdated fencing number.
     """
 
     def __init__(self, name: str, model: EngineModel, fencing: bool) -> None:
@@ -89,7 +89,7 @@
         self.waiting: list[tuple[int, int, Sequence, int]] = []
         self.running: list[Sequence] = []
         self.arrivals = 0
-        self.work = trio.Event()
+        self.has_work = trio.Event()
         self.prefixes: OrderedDict[int, None] = OrderedDict()
         self.adapters: dict[str, str] = {}
         self.newest_fencing_number = 0
@@ -118,12 +118,12 @@
     # Generation
 
     async def generate_forever(self) -> None:
-        """Run steps while there is work."""
+        """Run decode steps while there are requests."""
         while True:
             prefill_s = self._admit()
             if not self.running:
-                self.work = trio.Event()
-                await self.work.wait()
+                self.has_work = trio.Event()
+                await self.has_work.wait()
                 continue
             step_s = (self.model.step_ms + len(self.running) * self.model.load_ms) / 1e3
             await trio.sleep((step_s + prefill_s) * self.slowdown)
@@ -137,7 +137,7 @@
             ]
 
     def _admit(self) -> float:
-        """Move waiting sequences into the batch; return the prefill's seconds."""
+        """Move waiting sequences into the batch; return their prefill time in seconds."""
         prefill_s = 0.0
         while self.waiting and len(self.running) < self.model.slots:
             _, _, sequence, prompt_tokens = self.waiting.pop(0)
@@ -155,10 +155,10 @@
         if len(self.prefixes) > self.model.cached_prefixes:
             self.prefixes.popitem(last=False)
         self.prefix_hits += hit
-        return (size // CHARS_PER_TOKEN) // (4 if hit else 1)
+        return (size // BODY_BYTES_PER_TOKEN) // (4 if hit else 1)
 
     async def complete(self, exchange: Exchange) -> None:
-        """Serve a completion as a stream."""
+        """Serve a completion as an event stream."""
         raw = await exchange.read_body(MAX_BODY_BYTES, 10)
         if self.leaving:
             self.requests_while_leaving += 1
@@ -177,7 +177,7 @@
         self.arrivals += 1
         entry = (sequence.priority, self.arrivals, sequence, prompt_tokens)
         bisect.insort(self.waiting, entry, key=lambda each: each[:2])
-        self.work.set()
+        self.has_work.set()
         start = sequence.next_token
         try:
             async with trio.open_nursery() as nursery:
@@ -188,8 +188,8 @@
             pass
         finally:
             sequence.cancelled = True
-            spans = self.token_ranges[sequence.nonce]
-            spans.append((start, sequence.next_token))
+            ranges = self.token_ranges[sequence.nonce]
+            ranges.append((start, sequence.next_token))
 
     async def _send_stream(
         self, exchange: Exchange, sequence: Sequence, chat: bool, body: dict
@@ -217,10 +217,10 @@
             if done:
                 return
 
-    # Reports and orders
+    # Load reports and adapter orders
 
     async def report_forever(self) -> None:
-        """Note the load now and then, to be reported late."""
+        """Record the load every 0.1 s, to be reported with a lag."""
         while True:
             now = trio.current_time()
             self.load_reports.append((now, len(self.running) + len(self.waiting)))
@@ -230,21 +230,21 @@
     async def load(self, exchange: Exchange) -> None:
         """Serve the load as it was `report_lag_s` ago."""
         until = trio.current_time() - self.model.report_lag_s
-        old = [load for at, load in self.load_reports if at <= until]
-        report = {"server_load": old[-1] if old else 0, "leaving": self.leaving}
+        lagged = [load for at, load in self.load_reports if at <= until]
+        report = {"server_load": lagged[-1] if lagged else 0, "leaving": self.leaving}
         await exchange.respond_json(report)
 
     async def models(self, exchange: Exchange) -> None:
-        """Serve the adapters that are loaded, with their versions."""
+        """Serve the loaded adapters with their versions."""
         data = [{"id": name, "root": root} for name, root in self.adapters.items()]
         await exchange.respond_json({"object": "list", "data": data})
 
     async def load_adapter(self, exchange: Exchange) -> None:
-        """Take an order, unless its fencing number is old and that matters."""
+        """Load an adapter; refuse an outdated fencing number if `fencing` is set."""
         body = msgspec.json.decode(await exchange.read_body(MAX_BODY_BYTES, 10))
         number = int(exchange.headers.get(FENCING_HEADER, "0"))
         if self.fencing and number < self.newest_fencing_number:
-            await exchange.respond_json({"error": "old fencing number"}, 409)
+            await exchange.respond_json({"error": "outdated fencing number"}, 409)
             return
         self.newest_fencing_number = max(self.newest_fencing_number, number)
         self.adapters[body["lora_name"]] = body["lora_path"]
@@ -261,11 +261,11 @@
         await exchange.respond_json({})
 
     async def counts(self, exchange: Exchange) -> None:
-        """Serve what was counted."""
+        """Serve the counts."""
         await exchange.respond_json(self.get_counts())
 
     def get_counts(self) -> dict[str, Any]:
-        """Return what was generated, by nonce, and when it began."""
+        """Return counts, times by nonce, and the adapters and orders received."""
         return {
             "generated": self.generated,
             "started": list(self.token_ranges),
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/platform.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/platform.py
@@ -1,7 +1,7 @@
-"""The platform of completions deployments: its store, and who writes there.
+"""Stand-in of the platform of completions deployments, with its store.
 
-Callers of ``/control/*`` act as the platform's operators; the fleet only reads
-and watches the store, which holds the records and the list of instances.
+Requests to ``/control/*`` act for the platform's operators; instances only read and
+watch the store, which holds the configuration records and the list of instances.
 """
 
 import argparse
@@ -26,14 +26,14 @@
 
 
 class Platform:
-    """State of the stand-in; a fault is set through ``/control/fault``.
+    """State and handlers of the stand-in; ``/control/fault`` sets its faults.
 
     Parameters
     ----------
     list_lag_s
-        Seconds by which the list of instances lags behind.
+        Lag of the list of instances, in seconds.
     backend
-        Network to probe instances through; sockets if None.
+        Network for probing instances; sockets if None.
     """
 
     def __init__(
@@ -63,7 +63,7 @@
         }
 
     async def read(self, exchange: Exchange) -> None:
-        """Serve a page of the store."""
+        """Serve a page of a range of the store."""
         self.reads += 1
         if self.down:
             await exchange.respond_json({"error": "down"}, 503)
@@ -71,7 +71,7 @@
             await exchange.respond_json(self.store.range(_query(exchange)))
 
     async def watch(self, exchange: Exchange) -> None:
-        """Serve a watch; a stale replica shows what it has to anyone."""
+        """Serve a watch; a stale replica answers at once with the records it has."""
         self.reads += 1
         query = _query(exchange)
         if self.down:
@@ -88,16 +88,16 @@
         await exchange.respond_json(body, status)
 
     def publish(self, raw: bytes) -> None:
-        """Write a set of records as it is; its number may be an older one."""
+        """Store a configuration unchanged; its number may be an older one."""
         self.store.put_raw(RECORDS_KEY, raw)
 
     async def control_records(self, exchange: Exchange) -> None:
-        """Publish a set of records."""
+        """Publish a configuration."""
         self.publish(await exchange.read_body(MAX_BODY_BYTES, 10))
         await exchange.respond_json({})
 
     async def control_instances(self, exchange: Exchange) -> None:
-        """Replace the instances that the platform runs."""
+        """Replace the list of instances that the platform runs."""
         body = await exchange.read_body(MAX_BODY_BYTES, 10)
         self.instances = {each["id"]: each for each in msgspec.json.decode(body)}
         self.publish_list()
@@ -116,7 +116,7 @@
         await exchange.respond_json({"reads": self.reads})
 
     def publish_list(self) -> None:
-        """Write what has changed of the list."""
+        """Write the changed entries of the list to the store."""
         listed = {
             INSTANCES_PREFIX + each["id"]: {
                 "id": each["id"],
@@ -137,7 +137,7 @@
         self.published = listed
 
     async def probe_forever(self) -> None:
-        """Learn late which entry instances are ready, leaving or gone."""
+        """Probe whether entry instances are ready, leaving or gone, and publish it late."""
         async with (
             httpcore.AsyncConnectionPool(
                 max_keepalive_connections=0, network_backend=self.backend
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/relay.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/relay.py
@@ -1,7 +1,7 @@
-"""A relay in front of the instances' peer listeners, so that links can be cut.
+"""TCP relay in front of the instances' peer listeners, for cutting links.
 
-It tells dialling instances apart by their source address. A cut holds bytes
-back silently, as a broken network does, and lets them through when it heals.
+It identifies dialling instances by their source address. A cut holds bytes back without
+closing connections, as a network partition does, and delivers them once it heals.
 """
 
 import argparse
@@ -25,29 +25,27 @@
     Parameters
     ----------
     routes
-        Address listened on by address forwarded to.
+        Addresses to listen on, each with the address to forward to.
     """
 
     def __init__(self, routes: dict[str, str]) -> None:
         self.routes = routes
-        self.group_of: dict[str, int] = {}
-        self.changed = trio.Event()
+        self.groups: dict[str, int] = {}
+        self.groups_changed = trio.Event()
 
     def is_cut(self, one: str, other: str) -> bool:
-        """Tell whether nothing passes between two hosts now."""
-        return self.group_of.get(one, 0) != self.group_of.get(other, 0)
+        """Return whether the path between two hosts is cut."""
+        return self.groups.get(one, 0) != self.groups.get(other, 0)
 
     async def control(self, exchange: Exchange) -> None:
-        """Put hosts into groups; hosts that are not named are in group 0."""
-        self.group_of = msgspec.json.decode(
-            await exchange.read_body(MAX_BODY_BYTES, 10)
-        )
-        self.changed.set()
-        self.changed = trio.Event()
+        """Set the group of each host; hosts that are not named are in group 0."""
+        self.groups = msgspec.json.decode(await exchange.read_body(MAX_BODY_BYTES, 10))
+        self.groups_changed.set()
+        self.groups_changed = trio.Event()
         await exchange.respond_json({})
 
     async def serve(self) -> None:
-        """Listen on every route."""
+        """Accept connections on every route."""
         async with trio.open_nursery() as nursery:
             for listen, target in self.routes.items():
                 host, port = listen.rsplit(":", 1)
@@ -56,18 +54,18 @@
                     partial(trio.serve_tcp, handler, int(port), host=host)
                 )
 
-    async def _forward(self, target: str, near: trio.SocketStream) -> None:
-        source = near.socket.getpeername()[0]
+    async def _forward(self, target: str, client: trio.SocketStream) -> None:
+        source = client.socket.getpeername()[0]
         host, port = target.rsplit(":", 1)
         while self.is_cut(source, host):
-            await self.changed.wait()
+            await self.groups_changed.wait()
         try:
-            far = await trio.open_tcp_stream(host, int(port))
+            server = await trio.open_tcp_stream(host, int(port))
         except OSError:
-            await near.aclose()
+            await client.aclose()
             return
-        async with near, far, trio.open_nursery() as nursery:
-            for one, other in ((near, far), (far, near)):
+        async with client, server, trio.open_nursery() as nursery:
+            for one, other in ((client, server), (server, client)):
                 nursery.start_soon(
                     self._copy, one, other, source, host, nursery.cancel_scope
                 )
@@ -76,7 +74,7 @@
         try:
             async for data in one:
                 while self.is_cut(source, host):
-                    await self.changed.wait()
+                    await self.groups_changed.wait()
                 await other.send_all(data)
         except (trio.BrokenResourceError, trio.ClosedResourceError):
             pass
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/service.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/service.py
@@ -1,4 +1,4 @@
-"""A plain service that confirms orders and counts each confirmation."""
+"""Stand-in of a plain service that confirms orders and counts confirmations."""
 
 import argparse
 from collections import Counter
@@ -15,12 +15,12 @@
 
 
 class OrderService:
-    """Counts the calls for each order.
+    """Service that counts its calls for each order.
 
     Parameters
     ----------
     work_s
-        Seconds that a confirmation takes.
+        Duration of a confirmation in seconds.
     """
 
     def __init__(self, work_s: float) -> None:
@@ -36,16 +36,16 @@
         }
 
     async def confirm(self, exchange: Exchange) -> None:
-        """Confirm an order; the call counts even if nobody waits for it."""
+        """Confirm an order; the call counts even if its client has disconnected."""
         body = msgspec.json.decode(await exchange.read_body(MAX_BODY_BYTES, 10))
         order = body["order"]
         self.confirmed[order] += 1
         await trio.sleep(self.work_s)
-        answer = {"order": order, "times": self.confirmed[order]}
-        await exchange.respond_json(answer)
+        result = {"order": order, "times": self.confirmed[order]}
+        await exchange.respond_json(result)
 
     async def echo(self, exchange: Exchange) -> None:
-        """Return the body."""
+        """Respond with the body of the request."""
         await exchange.respond(200, await exchange.read_body(MAX_BODY_BYTES, 10))
 
     async def counts(self, exchange: Exchange) -> None:
