--- a/packages/buckthornwall-standins/src/buckthornwall_standins/platform.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/platform.py
@@ -137,7 +137,7 @@
         self.published = listed
 
     async def probe_forever(self) -> None:
-        """Probe whether entry instances are ready, leaving or gone, and publish it late."""
+        """Probe the entry instances and publish their states with a lag."""
         async with (
             httpcore.AsyncConnectionPool(
                 max_keepalive_connections=0, network_backend=self.backend
