--- a/packages/buckthornwall-standins/src/buckthornwall_standins/fleet.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/fleet.py
@@ -1,4 +1,4 @@
-"""Start, watch and disturb a whole deployment as real processes."""
+"""Run a whole deployment as real processes, and inject faults."""
 
 import os
 import random
@@ -41,27 +41,27 @@
 
 
 class Fleet:
-    """Every process of one deployment, on addresses of one loopback network.
+    """The processes of a deployment, on addresses of one loopback network.
 
     Parameters
     ----------
     deployment
-        Sizes and records.
+        Sizes and configuration records.
     engine_model
-        How fast the engines are.
+        Speed of the engines.
     scheduling
-        Mode that the records give to every pool.
+        Scheduling mode of every pool.
     log_level
-        Of the entry instances, whose logs go to files in `folder`.
+        Log level of the entry instances, which log to files in `folder`.
     drain_s
-        How long a stopping instance serves on.
+        Seconds for which a stopping instance still accepts requests.
     platform_reachable_from
-        How many of the instances can reach the platform; all if None. Others
+        Number of instances that can reach the platform; all if None. The others
         know their peers from their settings.
     engines_ignoring_fencing
-        Engines that ignore the fencing number of an order.
+        Engines that ignore the fencing number of an adapter order.
     relayed
-        Whether links between instances pass a relay that can cut them.
+        Whether links between instances pass through a relay that can cut them.
     """
 
     def __init__(
@@ -98,15 +98,15 @@
         return [each for each in self.upstreams if each.kind == "engine"]
 
     def node(self, node_id: str) -> NodeProcess:
-        """Return an entry instance by id."""
+        """Return the entry instance with an id."""
         return next(each for each in self.nodes if each.id == node_id)
 
-    # Start and end
+    # Start and stop
 
     @classmethod
     @asynccontextmanager
     async def running(cls, *args, **kwargs) -> AsyncIterator["Fleet"]:
-        """Start everything, and end everything afterwards."""
+        """Start the deployment, and kill its processes afterwards."""
         fleet = cls(*args, **kwargs)
         try:
             await fleet.start()
@@ -117,7 +117,7 @@
                 await fleet.http.aclose()
 
     async def start(self) -> None:
-        """Start every process and wait until every instance is ready."""
+        """Start all processes and wait until all instances are ready."""
         self.platform = self.spawn(
             "buckthornwall_standins.platform", "--listen", self.platform_address
         )
@@ -137,7 +137,7 @@
 
     @property
     def relay_control(self) -> str:
-        """Address at which the relay is told what to cut."""
+        """Control address of the relay."""
         return f"{self.network}.4.250:{OPERATOR_PORT}"
 
     def peer_address(self, node: NodeProcess) -> str:
@@ -155,12 +155,12 @@
         )
 
     async def cut(self, isolated: list[NodeProcess]) -> None:
-        """Cut some instances off from the others; none to heal."""
+        """Cut instances off from all others; an empty list heals the cut."""
         groups = {node.host: 1 for node in isolated}
         await self.request("POST", self.relay_control, "/control", groups)
 
     def spawn(self, module: str, *arguments: str, log: str = "") -> subprocess.Popen:
-        """Start a module as a process that logs into `folder`."""
+        """Start a module as a process that logs to a file in `folder`."""
         path = self.folder / (log or f"{module.rpartition('.')[2]}.log")
         with path.open("ab") as output:
             return subprocess.Popen(
@@ -171,7 +171,7 @@
             )
 
     def start_upstream(self, upstream: UpstreamProcess) -> None:
-        """Start one engine or service."""
+        """Start an engine or service."""
         if upstream.kind == "engine":
             model = msgspec.json.encode(self.engine_model).decode()
             upstream.process = self.spawn(
@@ -190,7 +190,7 @@
             )
 
     def start_node(self, node: NodeProcess) -> None:
-        """Write one instance's settings and start it."""
+        """Write the settings of an instance and start it."""
         path = self.folder / f"{node.id}.ini"
         text = SETTINGS.format(
             id=node.id,
@@ -217,7 +217,7 @@
         return self.nodes.index(node) < self.platform_reachable_from
 
     def _platform_for(self, node: NodeProcess) -> str:
-        """Return the platform's address, or one where nothing listens."""
+        """Return the platform's address, or one without a listener."""
         if self._reaches_platform(node):
             return self.platform_address
         return f"{self.network}.0.2:{PLATFORM_PORT}"
@@ -229,7 +229,7 @@
         return ", ".join(f"{each.id}={self.peer_address(each)}" for each in peers)
 
     async def wait_ready(self, node: NodeProcess) -> None:
-        """Wait until an instance says that it is ready."""
+        """Wait until an instance reports that it is ready."""
         await self._wait_for(node.operator_address, "/readyz")
 
     async def _wait_for(self, address: str, path: str) -> None:
@@ -244,7 +244,7 @@
                 await trio.sleep(0.05)
 
     def end(self) -> None:
-        """End every process that is still there."""
+        """Kill every process that still runs."""
         processes = [self.platform, self.relay]
         processes += [each.process for each in self.upstreams]
         processes += [each.process for each in self.nodes]
@@ -256,12 +256,12 @@
         for process in alive:
             process.wait()
 
-    # Talking to the processes
+    # Requests to the processes
 
     async def request(
         self, method: str, address: str, path: str, body: Any = None
     ) -> tuple[int, bytes]:
-        """Send one plain request; return status and body."""
+        """Send an HTTP request; return its status and body."""
         response = await self.http.request(
             method,
             f"http://{address}{path}",
@@ -271,16 +271,16 @@
         return response.status, response.content
 
     async def get_json(self, address: str, path: str) -> Any:
-        """Return the JSON that a process serves at a path."""
+        """Return the JSON served at an address and path."""
         _, content = await self.request("GET", address, path)
         return msgspec.json.decode(content)
 
     async def status(self, node: NodeProcess) -> dict[str, Any]:
-        """Return what an instance says of itself."""
+        """Return the status that an instance serves."""
         return await self.get_json(node.operator_address, "/status")
 
     def upstream_records(self) -> list[dict[str, Any]]:
-        """Return the records of the upstreams."""
+        """Return the configuration records of the upstreams."""
         slots = self.engine_model.slots
         return [
             make_upstream_record(each.id, each.kind, each.address, each.serves, slots)
@@ -288,7 +288,7 @@
         ]
 
     async def publish(self, records: dict[str, Any] | None = None) -> None:
-        """Publish a set of records as the operators do."""
+        """Publish a configuration as an operator would."""
         if records is None:
             records = make_records(
                 self.deployment,
@@ -299,7 +299,7 @@
         await self.request("POST", self.platform_address, "/control/records", records)
 
     async def publish_instances(self, leaving: tuple[str, ...] = ()) -> None:
-        """Tell the platform which instances there are."""
+        """Publish the list of instances and upstreams on the platform."""
         instances = [
             make_instance_entry(
                 node.id, self.peer_address(node), node.zone, node.operator_address
@@ -323,7 +323,7 @@
         await self.request("POST", upstream.address, "/control", fault)
 
     async def collect_counts(self) -> None:
-        """Read every upstream's counts, keeping the last ones of a dead one."""
+        """Read the counts of every upstream; a dead one keeps its last counts."""
         for each in self.upstreams:
             try:
                 each.last_counts = await self.get_json(each.address, "/counts")
@@ -331,7 +331,7 @@
                 continue
 
     def engine_counts(self) -> list[dict[str, Any]]:
-        """Return what every life of every engine counted, as last collected."""
+        """Return the last collected counts of each process of each engine."""
         return [
             counts
             for engine in self.engines()
@@ -340,31 +340,31 @@
         ]
 
     def service_counts(self) -> Counter[str]:
-        """Return how often the services were called for each order."""
+        """Return the number of service calls for each order."""
         counts: Counter[str] = Counter()
         for each in self.upstreams:
             if each.kind == "service":
                 counts.update(each.last_counts)
         return counts
 
-    # Disturbances
+    # Faults
 
-    def kill(self, what: NodeProcess | UpstreamProcess) -> None:
-        """End a process without warning."""
-        if isinstance(what, NodeProcess):
-            what.killed = True
-        what.process.kill()
+    def kill(self, target: NodeProcess | UpstreamProcess) -> None:
+        """Kill a process."""
+        if isinstance(target, NodeProcess):
+            target.killed = True
+        target.process.kill()
 
     def freeze(self, node: NodeProcess) -> None:
-        """Stop a process from running."""
+        """Suspend the process of an instance."""
         os.kill(node.process.pid, signal.SIGSTOP)
 
     def thaw(self, node: NodeProcess) -> None:
-        """Let a frozen process run on."""
+        """Resume a suspended instance."""
         os.kill(node.process.pid, signal.SIGCONT)
 
     async def stop(self, node: NodeProcess) -> int:
-        """Stop an instance as planned; return its exit status."""
+        """Stop an instance gracefully; return its exit status."""
         node.stopped = True
         node.process.terminate()
         with trio.fail_after(STOP_TIMEOUT_S):
@@ -373,7 +373,7 @@
         return node.process.returncode
 
     async def find_scheduler(self, pool: str) -> NodeProcess:
-        """Return the instance to which most have left their part of a pool."""
+        """Return the instance to which most instances lend their share of a pool."""
         with trio.fail_after(READY_TIMEOUT_S):
             while True:
                 votes = await self._count_votes(pool)
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/processes.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/processes.py
@@ -1,4 +1,4 @@
-"""The processes of a fleet, and the settings of its instances."""
+"""Processes of a deployment, and the settings of its instances."""
 
 import subprocess
 from dataclasses import dataclass, field
@@ -46,7 +46,7 @@
 
 @dataclass
 class NodeProcess:
-    """One entry instance."""
+    """Process of an entry instance."""
 
     id: str
     zone: str
@@ -57,23 +57,23 @@
 
     @property
     def caller_address(self) -> str:
-        """Address of the callers' listener."""
+        """Address of the listener for callers."""
         return f"{self.host}:{CALLER_PORT}"
 
     @property
     def operator_address(self) -> str:
-        """Address of the operators' listener."""
+        """Address of the listener for operators."""
         return f"{self.host}:{OPERATOR_PORT}"
 
     @property
     def peer_address(self) -> str:
-        """Address that peers dial."""
+        """Address of the listener for peers."""
         return f"{self.host}:{PEER_PORT}"
 
 
 @dataclass
 class UpstreamProcess:
-    """One engine or plain service."""
+    """Process of an engine or a plain service."""
 
     id: str
     kind: str
@@ -85,7 +85,7 @@
 
 
 def make_node_processes(deployment: Deployment, network: str) -> list[NodeProcess]:
-    """Return a deployment's instances, on the hosts ``NETWORK.1.N``."""
+    """Return the instances of a deployment, on hosts ``NETWORK.1.N``."""
     zones = deployment.zones
     return [
         NodeProcess(
@@ -100,15 +100,17 @@
 def make_upstream_processes(
     deployment: Deployment, network: str
 ) -> list[UpstreamProcess]:
-    """Return a deployment's engines, on ``NETWORK.2.N``, and its service."""
-    planned = []
+    """Return the engines of a deployment, on ``NETWORK.2.N``, and its service."""
+    processes = []
     for pool, count in deployment.pools.items():
         for index in range(count):
-            address = f"{network}.2.{len(planned) + 1}:{UPSTREAM_PORT}"
-            planned.append(
+            address = f"{network}.2.{len(processes) + 1}:{UPSTREAM_PORT}"
+            processes.append(
                 UpstreamProcess(f"{pool}-{index + 1}", "engine", address, pool)
             )
     if deployment.service:
         address = f"{network}.3.1:{UPSTREAM_PORT}"
-        planned.append(UpstreamProcess("orders-1", "service", address, "order-service"))
-    return planned
+        processes.append(
+            UpstreamProcess("orders-1", "service", address, "order-service")
+        )
+    return processes
