--- a/packages/buckthornwall-standins/src/buckthornwall_standins/callers.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/callers.py
@@ -1,7 +1,7 @@
-"""Callers: an open-loop load whose arrivals do not wait for answers.
+"""Simulated callers: an open-loop load whose arrivals do not wait for responses.
 
-Arrivals, classes, teams, prompts and lengths come from one seed, so that two
-policies meet the same load. Every answer is checked word by word.
+Arrivals, classes, teams, prompts and lengths are sampled from one seed, so that two
+policies get the same load. Every response is checked token by token.
 """
 
 import base64
@@ -38,7 +38,7 @@
 
 
 class Verdict(Enum):
-    """How a request ended, as its caller saw it."""
+    """How a request ended, as seen by its caller."""
 
     COMPLETE = "whole"
     REFUSED = "refused"
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True)
 class Arrival:
-    """One request to come, at `at` seconds from the start of the load."""
+    """A planned request, sent `at` seconds after the start of the load."""
 
     at: float
     load: ClassLoad
@@ -60,10 +60,10 @@
 
 @dataclass
 class Outcome:
-    """What a caller saw; times in seconds from the start of the load.
+    """Outcome of a request; `first_token_s` and `total_s` count from its arrival.
 
-    `sent_at` and `first_token_at` are on the machine's monotonic clock, which
-    the engines' stand-ins share, so that the router's own delay can be told.
+    `sent_at` and `first_token_at` are times of the machine's monotonic clock, which
+    the engine stand-ins share, so that the delay added by the router can be measured.
     """
 
     arrival: Arrival
@@ -80,14 +80,14 @@
 
     @property
     def inter_token_s(self) -> float:
-        """Mean seconds between tokens."""
+        """Mean time between tokens, in seconds."""
         if self.tokens < 2:
             return 0.0
         return (self.total_s - self.first_token_s) / (self.tokens - 1)
 
     @property
     def attained(self) -> bool:
-        """Whether the whole answer came within the class's targets."""
+        """Whether the complete response met the targets of its class."""
         load = self.arrival.load
         return (
             self.verdict is Verdict.COMPLETE
@@ -99,7 +99,7 @@
 
 @dataclass
 class OrderOutcome:
-    """What became of one order confirmation."""
+    """Outcome of an order confirmation."""
 
     order: str
     status: int = 0
@@ -111,7 +111,7 @@
 def estimate_pool_capacity(
     deployment: Deployment, pool: str, model: EngineModel
 ) -> float:
-    """Return the tokens a second that a pool can generate with full batches."""
+    """Return the tokens per second that a pool generates with full batches."""
     step_s = (model.step_ms + model.slots * model.load_ms) / 1000
     return deployment.pools[pool] * model.slots / step_s
 
@@ -124,21 +124,20 @@
     rate: Rate,
     flood: Callable[[str, float], float] = lambda team, at: 1.0,
 ) -> list[Arrival]:
-    """Draw the arrivals of a run.
+    """Sample the arrivals of a run.
 
     Parameters
     ----------
     deployment, model
-        What is loaded.
+        Deployment under load, and the speed of its engines.
     seconds
-        Length of the load.
+        Duration of the load.
     seed
-        Of every draw.
+        Seed of all samples.
     rate
-        Demand of a class at a time, as a part of its pool's capacity times
-        its share.
+        Demand of a class at a time, relative to its share of the pool's capacity.
     flood
-        Factor on one team's arrivals at a time.
+        Factor on the arrival rate of a team at a time.
     """
     arrivals: list[Arrival] = []
     for load in deployment.loads:
@@ -146,20 +145,20 @@
         capacity = estimate_pool_capacity(deployment, load.pool, model)
         mean_tokens = load.median_tokens * math.exp(LENGTH_SIGMA**2 / 2)
         for team, fraction in load.teams:
-            base = capacity * load.share * fraction / mean_tokens
+            base_rate = capacity * load.share * fraction / mean_tokens
             arrivals += _team_arrivals(
                 load,
                 team,
                 seconds,
                 generator,
-                _scale_rate(base, rate, flood, load, team),
+                _scale_rate(base_rate, rate, flood, load, team),
             )
     arrivals.sort(key=lambda each: each.at)
     return arrivals
 
 
-def _scale_rate(base: float, rate: Rate, flood, load: ClassLoad, team: str):
-    return lambda at: base * rate(load, at) * flood(team, at)
+def _scale_rate(base_rate: float, rate: Rate, flood, load: ClassLoad, team: str):
+    return lambda at: base_rate * rate(load, at) * flood(team, at)
 
 
 def _team_arrivals(
@@ -169,7 +168,7 @@
     generator: random.Random,
     rate_at: Callable[[float], float],
 ) -> list[Arrival]:
-    """Draw a Poisson process of varying rate by thinning."""
+    """Sample a Poisson process of varying rate by thinning."""
     peak = max(rate_at(tenth / 10) for tenth in range(int(seconds * 10) + 1))
     arrivals = []
     at = 0.0
@@ -188,20 +187,20 @@
 
 
 class Callers:
-    """Sends a plan of arrivals to the instances that the platform lists.
+    """Callers that send planned arrivals to the instances listed by the platform.
 
     Parameters
     ----------
     fleet
-        What to call.
+        Deployment to call.
     arrivals
-        The plan.
+        Planned requests.
     order_rate
-        Order confirmations a second beside it.
+        Order confirmations per second, sent besides the arrivals.
     one_way_delay_s
-        Delay that each caller adds on its way to an instance.
+        Network delay before each request, in seconds.
     backend
-        Network to call through; sockets if None.
+        Network for the requests; sockets if None.
     """
 
     def __init__(
@@ -220,13 +219,13 @@
         self.orders: list[OrderOutcome] = []
         self.started = 0.0
         self.ready = list(fleet.nodes)
-        self.turn = 0
+        self.next_index = 0
         self.pool = httpcore.AsyncConnectionPool(
             max_connections=5000, keepalive_expiry=2.0, network_backend=backend
         )
 
     async def run(self, seconds: float) -> None:
-        """Send everything and wait for the last answer."""
+        """Send all requests and wait until the last one ends."""
         self.started = trio.current_time()
         async with self.pool, trio.open_nursery() as nursery:
             nursery.start_soon(self._poll_instances, nursery.cancel_scope)
@@ -238,10 +237,10 @@
                     requests.start_soon(self._send_arrival, arrival)
             nursery.cancel_scope.cancel()
 
-    def pick(self):
-        """Return the next ready instance, as a balancer would."""
-        self.turn += 1
-        return self.ready[self.turn % len(self.ready)]
+    def next_instance(self):
+        """Return the next ready instance, round robin as a load balancer would."""
+        self.next_index += 1
+        return self.ready[self.next_index % len(self.ready)]
 
     async def _poll_instances(self, _scope) -> None:
         while True:
@@ -266,7 +265,7 @@
         self.outcomes.append(outcome)
         await trio.sleep(self.one_way_delay_s)
         for _ in range(MAX_CONNECT_ATTEMPTS):
-            node = self.pick()
+            node = self.next_instance()
             outcome.node = node.id
             try:
                 await self._stream_completion(node, arrival, outcome)
@@ -302,9 +301,9 @@
         now = trio.current_time() - self.started - arrival.at
         if event == DONE_EVENT:
             outcome.total_s = now
-            whole = outcome.tokens == arrival.length
+            complete = outcome.tokens == arrival.length
             if outcome.verdict is not Verdict.CORRUPTED:
-                outcome.verdict = Verdict.COMPLETE if whole else Verdict.CORRUPTED
+                outcome.verdict = Verdict.COMPLETE if complete else Verdict.CORRUPTED
             return
         chunk = msgspec.json.decode(event)
         if "error" in chunk:
@@ -333,7 +332,7 @@
             nursery.start_soon(self._order, f"order-{index}")
 
     async def _order(self, order: str) -> None:
-        """Confirm one order, repeating it under one key until it is settled."""
+        """Confirm an order, retrying under one idempotency key until it is settled."""
         outcome = OrderOutcome(order)
         self.orders.append(outcome)
         key = None
@@ -362,7 +361,7 @@
             headers.append(("idempotency-key", key))
         response = await self.pool.request(
             "POST",
-            f"http://{self.pick().caller_address}/services/{ORDER_ROUTE}/confirm",
+            f"http://{self.next_instance().caller_address}/services/{ORDER_ROUTE}/confirm",
             headers=headers,
             content=msgspec.json.encode({"order": order}),
             extensions={"timeout": {"connect": 1.0, "read": READ_TIMEOUT_S}},
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/cases.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/cases.py
@@ -1,4 +1,4 @@
-"""The cases of the bench: a load over time, and what goes wrong meanwhile."""
+"""Cases of the bench: a load over time, and the faults injected meanwhile."""
 
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
@@ -23,7 +23,7 @@
 FREEZE_S = 5.0
 CUT_S = 6.0
 
-Disturb = Callable[[Fleet, float], Awaitable[None]]
+InjectFaults = Callable[[Fleet, float], Awaitable[None]]
 
 
 async def _do_nothing(fleet: Fleet, seconds: float) -> None:
@@ -34,7 +34,7 @@
     return lambda deployment, seconds: lambda load, at: fraction
 
 
-def _no_flood(deployment: Deployment, seconds: float):
+def _keep_team_rates(deployment: Deployment, seconds: float):
     return lambda team, at: 1.0
 
 
@@ -47,7 +47,7 @@
 
 
 def _burst(deployment: Deployment, seconds: float) -> Rate:
-    """Let the first class that is not urgent ask for ten times as much."""
+    """Multiply the demand of the first class that is not urgent by ten."""
     bursting = next(load.id for load in deployment.loads if load.tier)
 
     def rate(load: ClassLoad, at: float) -> float:
@@ -61,7 +61,7 @@
 
 
 def _flood(deployment: Deployment, seconds: float):
-    """Let one large team flood its class."""
+    """Multiply the arrivals of the largest team that is not urgent."""
     flooding = max(
         (team for load in deployment.loads if load.tier for team in load.teams),
         key=lambda each: each[1],
@@ -77,7 +77,7 @@
 
 
 async def _crashes(fleet: Fleet, seconds: float) -> None:
-    """Crash two engines in turn; each comes back after a while."""
+    """Crash two engines one after the other; each restarts later."""
     for engine in fleet.engines()[:2]:
         await trio.sleep(seconds / 4)
         await fleet.collect_counts()
@@ -114,7 +114,7 @@
 
 
 async def _stale(fleet: Fleet, seconds: float) -> None:
-    """Publish, then let the service show the older set again."""
+    """Publish a configuration, then make the platform serve the older one again."""
     await trio.sleep(seconds / 4)
     fleet.config_number = 2
     await fleet.publish()
@@ -126,15 +126,15 @@
 
 @dataclass(frozen=True)
 class Case:
-    """One case: rates by class, a factor by team, and disturbances.
+    """One case: rates by class, a rate factor by team, and faults.
 
-    `engines_fail` tells that tokens must be lost with a crashed engine.
+    `engines_fail` marks cases that lose tokens with crashed engines.
     """
 
     name: str
     rate: Callable[[Deployment, float], Rate]
-    flood: Callable = _no_flood
-    disturb: Disturb = _do_nothing
+    flood: Callable = _keep_team_rates
+    disturb: InjectFaults = _do_nothing
     relayed: bool = False
     engines_fail: bool = False
 
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/deployments.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/deployments.py
@@ -1,4 +1,4 @@
-"""Sizes, records and mixes of callers of the two first users.
+"""Sizes, configuration records and loads of the deployments of the first two users.
 
 Latency targets are scaled to the stand-in engines, which generate a token in
 about 40 ms.
@@ -23,11 +23,11 @@
 
 @dataclass(frozen=True)
 class ClassLoad:
-    """One class: its record, and the load that its callers make.
+    """One service class: its record, and the load of its callers.
 
-    `share` is the class's part of the tokens demanded of its pool; answers
-    have `median_tokens` in the middle and a heavy tail; `teams` are the
-    parts of the class's arrivals by team.
+    `share` is the fraction of its pool's token demand; the lengths of responses have
+    the median `median_tokens` and a heavy tail; `teams` holds the fraction of the
+    class's arrivals for each team.
     """
 
     id: str
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True)
 class Deployment:
-    """One user's fleet."""
+    """Deployment of one user."""
 
     name: str
     zones: tuple[str, ...]
@@ -60,7 +60,7 @@
     extra_records: list[dict[str, Any]] = field(default_factory=list)
 
     def teams(self) -> list[str]:
-        """Return every team."""
+        """Return all teams, sorted."""
         return sorted({team for load in self.loads for team, _ in load.teams})
 
 
@@ -226,7 +226,7 @@
 
 
 def make_api_key(team: str) -> str:
-    """Return the bearer key of a team."""
+    """Return the bearer API key of a team."""
     return f"key-of-{team}"
 
 
@@ -236,7 +236,7 @@
     upstreams: list[dict[str, Any]],
     scheduling: str = "pooled",
 ) -> dict[str, Any]:
-    """Return the set of records that an operator would publish."""
+    """Return the configuration that an operator would publish."""
     records: list[dict[str, Any]] = []
     records += _class_records(deployment)
     records += _team_records(deployment)
