--- a/packages/buckthornwall/src/buckthornwall/quarantine/record.py
+++ b/packages/buckthornwall/src/buckthornwall/quarantine/record.py
@@ -18,7 +18,7 @@
     "pool_tag",
 ]
 
-# One incarnation of an upstream: a hash of its pool, then one of its id and start.
+# One incarnation of an upstream: a hash of the pool, then one of id and incarnation.
 IncarnationTag = NewType("IncarnationTag", int)
 
 POOL_BYTES = 2
