--- a/packages/buckthornwall-standins/src/buckthornwall_standins/zone_soak.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/zone_soak.py
@@ -206,7 +206,7 @@
 def find_violations(soak: ZoneSoak) -> list[str]:
     """Return a line for each late arrival and each exceeded bound."""
     violations = [
-        f"request from instance {number} {late_s:.1f} s after the grace period"
+        f"{late_s:.1f} s after the grace period from instance {number}"
         for late_s, number in soak.late_arrivals
     ]
     if soak.region_violations:
