--- a/packages/buckthornwall-standins/src/buckthornwall_standins/engine.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/engine.py
@@ -137,7 +137,7 @@
             ]
 
     def _admit(self) -> float:
-        """Admit waiting sequences to the batch; return their prefill time in seconds."""
+        """Admit waiting sequences to the batch; return their prefill seconds."""
         prefill_s = 0.0
         while self.waiting and len(self.running) < self.model.slots:
             _, _, sequence, prompt_tokens = self.waiting.pop(0)
