--- a/packages/buckthornwall-standins/src/buckthornwall_standins/bare_relay.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/bare_relay.py
@@ -1,4 +1,4 @@
-"""A relay of the same libraries that decides nothing, to compare costs with."""
+"""Relay on the same libraries without any routing logic, as a cost baseline."""
 
 import argparse
 import itertools
@@ -15,7 +15,7 @@
 
 
 class BareRelay:
-    """Sends every request to the next engine and each part of the answer back.
+    """Relay that forwards requests round robin and streams the responses back.
 
     Parameters
     ----------
@@ -28,7 +28,7 @@
         self.pool = httpcore.AsyncConnectionPool(max_connections=1000)
 
     async def relay(self, exchange: Exchange) -> None:
-        """Serve one request."""
+        """Forward a request."""
         body = await exchange.read_body(MAX_BODY_BYTES, 10)
         url = f"http://{next(self.engines)}{exchange.path}"
         async with self.pool.stream("POST", url, content=body) as response:
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/bench.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/bench.py
@@ -1,7 +1,7 @@
 """Compare two policies on the same arrivals, case by case.
 
-Each case is run with real processes, policy after policy and seed after seed.
-The table, ``build/bench.json`` and a plot of attainment over time are written.
+Each case runs with real processes for every policy and seed. The bench writes a table,
+``build/bench.json`` and plots of attainment over time.
 """
 
 import argparse
@@ -35,7 +35,7 @@
 
 @dataclass
 class Run:
-    """One run: what was run, and what it showed."""
+    """One run of a case, with its results."""
 
     case: str
     deployment: str
@@ -46,7 +46,7 @@
     outcomes: list[Outcome] = field(default_factory=list)
 
     def summary(self) -> dict[str, Any]:
-        """Return the figures that go into the JSON file."""
+        """Return the figures for the JSON file."""
         report = self.report
         return {
             "case": self.case,
@@ -70,7 +70,7 @@
 async def run_case(
     case: Case, deployment: Deployment, policy: str, seed: int, seconds: float
 ) -> Run:
-    """Run one case under one policy."""
+    """Run a case under a policy with real processes."""
     async with Fleet.running(
         deployment, scheduling=policy, relayed=case.relayed
     ) as fleet:
@@ -99,21 +99,27 @@
     case: Case, fleet, policy: str, seed: int, report, callers, seconds: float
 ) -> Run:
     deployment = fleet.deployment
-    bound = (
+    token_bound_per_s = (
         compute_token_bound(deployment, fleet.engine_model, callers.arrivals) / seconds
     )
     return Run(
-        case.name, deployment.name, policy, seed, report, bound, callers.outcomes
+        case.name,
+        deployment.name,
+        policy,
+        seed,
+        report,
+        token_bound_per_s,
+        callers.outcomes,
     )
 
 
 async def run_case_in_memory(
     case: Case, deployment: Deployment, policy: str, seed: int, seconds: float
 ) -> Run:
-    """Run the load of a case on the mock clock, without its disturbances.
+    """Run the load of a case on the mock clock, without its faults.
 
-    It repeats exactly and no busy machine blurs it, so that a change of policy
-    shows; the figures that count are those of real processes.
+    The run is reproducible and independent of the machine's load, which isolates the
+    effect of a policy; the authoritative figures are those of real processes.
     """
     model = EngineModel(slots=deployment.slots)
     async with MemoryFleet.running(deployment, model, policy) as fleet:
@@ -131,25 +137,25 @@
     return _make_run(case, fleet, policy, seed, report, callers, seconds)
 
 
-def run_one(options: argparse.Namespace, *what) -> Run:
-    """Run one case, in memory or with real processes."""
+def run_one(options: argparse.Namespace, *arguments) -> Run:
+    """Run a case, in memory or with real processes."""
     if not options.in_memory:
-        return trio.run(run_case, *what, options.seconds)
-    make_deterministic(what[-1])
+        return trio.run(run_case, *arguments, options.seconds)
+    make_deterministic(arguments[-1])
     clock = MockClock(autojump_threshold=0)
-    return trio.run(run_case_in_memory, *what, options.seconds, clock=clock)
+    return trio.run(run_case_in_memory, *arguments, options.seconds, clock=clock)
 
 
-def _format_range(values: list[float], form: str) -> str:
-    middle = statistics.median(values)
+def _format_range(values: list[float], template: str) -> str:
+    median = statistics.median(values)
     if len(values) < 2:
-        return form.format(middle)
-    low, high = form.format(min(values)), form.format(max(values))
-    return f"{form.format(middle)} ({low}-{high})"
+        return template.format(median)
+    low, high = template.format(min(values)), template.format(max(values))
+    return f"{template.format(median)} ({low}-{high})"
 
 
 def summary_table(runs: list[Run]) -> str:
-    """Return one line for each case and deployment, the policies compared."""
+    """Return a Markdown table with a line for each deployment, case and policy."""
     lines = [
         "| deployment | case | policy | urgent attained | goodput tokens/s "
         "| of the bound | wasted | refused | false |",
@@ -179,7 +185,7 @@
 
 
 def _format_ratios(groups: dict[tuple[str, str, str], list[Run]]) -> list[str]:
-    """Return goodput of the first policy over the second, seed by seed."""
+    """Return the ratios of goodput between the policies, seed by seed."""
     lines = ["Goodput pooled / alone, seed by seed:", ""]
     for (deployment, case, policy), group in groups.items():
         others = groups.get((deployment, case, POLICIES[1]))
@@ -196,7 +202,7 @@
 
 
 def parse_options() -> argparse.Namespace:
-    """Return the options of the command line."""
+    """Parse the command line."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     names = [case.name for case in CASES]
     parser.add_argument("--cases", nargs="*", default=names, choices=names)
@@ -214,7 +220,7 @@
 
 
 def main() -> int:
-    """Run the bench; return 1 if a check that must always hold failed."""
+    """Run the bench; return 1 if a check failed."""
     options = parse_options()
     if options.in_memory:
         logger.remove()
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/bound.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/bound.py
@@ -1,4 +1,4 @@
-"""What a scheduler that knows every length and every load would have served."""
+"""Upper bound: the tokens served by a scheduler with perfect knowledge."""
 
 import heapq
 import itertools
@@ -13,12 +13,12 @@
 def compute_token_bound(
     deployment: Deployment, model: EngineModel, arrivals: list[Arrival]
 ) -> int:
-    """Return the tokens that an all-knowing scheduler serves within target.
+    """Return the tokens that a scheduler with perfect knowledge serves within target.
 
-    Each pool is so many slots, each of which makes a token in the time of a
-    full batch's step; prompts cost nothing, nothing fails, and no message
-    takes time. Whenever a slot is free the most urgent class goes next, and
-    within it what must start first; what cannot start in time is left out.
+    A pool is a number of slots, each of which generates a token in the step time of a
+    full batch; prefill is free, nothing fails, and messages take no time. A free slot
+    serves the most urgent class first, and within it the earliest deadline; requests
+    that cannot start in time are skipped.
     """
     return sum(
         _compute_pool_bound(
@@ -31,7 +31,7 @@
 
 
 def _compute_pool_bound(slots: int, step_s: float, arrivals: list[Arrival]) -> int:
-    order = itertools.count()
+    sequence = itertools.count()
     free_at = [0.0] * slots
     waiting: list[tuple[int, float, int, Arrival]] = []
     pending = iter(sorted(arrivals, key=lambda each: each.at))
@@ -43,7 +43,7 @@
             now = max(now, upcoming.at)
         while upcoming is not None and upcoming.at <= now:
             deadline = upcoming.at + upcoming.load.first_token_s - step_s
-            entry = (upcoming.load.tier, deadline, next(order), upcoming)
+            entry = (upcoming.load.tier, deadline, next(sequence), upcoming)
             heapq.heappush(waiting, entry)
             upcoming = next(pending, None)
         _, deadline, _, arrival = heapq.heappop(waiting)
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/demo.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/demo.py
@@ -17,25 +17,29 @@
 SEED = 1
 LOAD = 0.6
 ORDERS_PER_S = 5.0
-STOP_AT = 0.3
-KILL_AT = 0.5
-CRASH_AT = 0.7
+STOP_FRACTION = 0.3
+KILL_FRACTION = 0.5
+CRASH_FRACTION = 0.7
 COUNTS_INTERVAL_S = 0.5
 
 
 async def _disturb(fleet: Fleet, seconds: float) -> None:
-    """Stop one instance as planned, kill one, and crash an engine."""
+    """Stop an instance gracefully, kill another one, and crash an engine."""
     started = trio.current_time()
     stopped, killed = fleet.nodes[0], fleet.nodes[1]
     steps: list[tuple[float, str, Callable[[], Awaitable[object]]]] = [
-        (STOP_AT, f"{stopped.id} is stopped as planned", _make_stop(fleet, stopped)),
-        (KILL_AT, f"{killed.id} is killed", _make_kill(fleet, killed)),
-        (CRASH_AT, "an engine crashes", _make_kill(fleet, fleet.engines()[2])),
+        (
+            STOP_FRACTION,
+            f"{stopped.id} is stopped as planned",
+            _make_stop(fleet, stopped),
+        ),
+        (KILL_FRACTION, f"{killed.id} is killed", _make_kill(fleet, killed)),
+        (CRASH_FRACTION, "an engine crashes", _make_kill(fleet, fleet.engines()[2])),
     ]
     async with trio.open_nursery() as nursery:
-        for part, words, action in steps:
-            await trio.sleep_until(started + part * seconds)
-            tqdm.write(f"{part * seconds:5.1f} s: {words}")
+        for fraction, description, action in steps:
+            await trio.sleep_until(started + fraction * seconds)
+            tqdm.write(f"{fraction * seconds:5.1f} s: {description}")
             nursery.start_soon(action)
 
 
@@ -47,15 +51,15 @@
     return stop
 
 
-def _make_kill(fleet: Fleet, what) -> Callable[[], Awaitable[object]]:
+def _make_kill(fleet: Fleet, target) -> Callable[[], Awaitable[object]]:
     async def kill() -> None:
-        fleet.kill(what)
+        fleet.kill(target)
 
     return kill
 
 
 async def _collect_forever(fleet: Fleet) -> None:
-    """Keep the counts of engines that may crash."""
+    """Collect the counts of engines that may crash."""
     while True:
         await trio.sleep(COUNTS_INTERVAL_S)
         await fleet.collect_counts()
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/line_cost.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/line_cost.py
@@ -1,7 +1,7 @@
-"""What a log line costs, against a plain write of the same line.
+"""Cost of a log line, compared with a plain write of the same line.
 
-``python -m buckthornwall_standins.line_cost`` prints microseconds of one core,
-the least of five rounds, and the ratio of both in one run.
+``python -m buckthornwall_standins.line_cost`` prints microseconds of one core, each
+the minimum of five rounds, and the ratio between the two.
 """
 
 import os
@@ -15,7 +15,7 @@
 
 ROUNDS = 5
 LINES = 5_000
-UNBOUNDED = 1e9
+NO_LIMIT = 1e9
 LINES_PER_REQUEST = 2  # placed and finished
 
 
@@ -47,14 +47,14 @@
 
 
 def main() -> int:
-    """Measure and print."""
+    """Measure and print the costs."""
     with open(os.devnull, "w", encoding="utf-8") as sink:
         logger.remove()
         logger.add(sink, format="time={time} level={level} {message}")
         plain_us = _measure_min_us()
         logs.STDOUT = sink.fileno()
         configure_logs(
-            TelemetrySettings(lines_per_s=UNBOUNDED, lines_burst=UNBOUNDED), "n1"
+            TelemetrySettings(lines_per_s=NO_LIMIT, lines_burst=NO_LIMIT), "n1"
         )
         bounded_us = _measure_min_us()
         configure_logs(TelemetrySettings(lines_per_s=1.0, lines_burst=1.0), "n1")
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/plots.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/plots.py
@@ -1,4 +1,4 @@
-"""Plots of the bench."""
+"""Plots of the bench's results."""
 
 from pathlib import Path
 
@@ -6,7 +6,7 @@
 
 matplotlib.use("Agg")
 
-from matplotlib import pyplot as plt  # noqa: E402 - the backend comes first
+from matplotlib import pyplot as plt  # noqa: E402 - after the choice of the backend
 
 __all__ = ["plot_attainment"]
 
@@ -16,7 +16,7 @@
 def _compute_attainment_series(
     outcomes, class_id: str
 ) -> tuple[list[float], list[float]]:
-    """Return times and the share attained of what came in each bucket."""
+    """Return times, and the share of each bucket's arrivals that attained targets."""
     buckets: dict[int, list[bool]] = {}
     for outcome in outcomes:
         if outcome.arrival.load.id == class_id:
@@ -28,7 +28,7 @@
 
 
 def plot_attainment(runs, path: Path) -> None:
-    """Draw attainment by class over time, a panel for each policy."""
+    """Plot attainment by class over time, with a panel for each policy."""
     policies = list(dict.fromkeys(run.policy for run in runs))
     figure, axes = plt.subplots(
         1, len(policies), figsize=(5 * len(policies), 3.2), sharey=True, squeeze=False
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/report.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/report.py
@@ -1,4 +1,4 @@
-"""Attainment by class, goodput, wasted work and the checks of a run."""
+"""Attainment by class, goodput, wasted work and checks of a run."""
 
 from collections import Counter
 from dataclasses import dataclass, field
@@ -9,7 +9,7 @@
 
 
 def quantile(values: list[float], fraction: float) -> float:
-    """Return the value below which `fraction` of the values lie; 0 for none."""
+    """Return the quantile of values at `fraction`; 0 without values."""
     if not values:
         return 0.0
     ordered = sorted(values)
@@ -32,13 +32,13 @@
 
     @property
     def attainment(self) -> float:
-        """Share of what was asked that was served within target."""
+        """Share of the requests that were served within target."""
         return self.attained / self.asked if self.asked else 1.0
 
 
 @dataclass
 class RunReport:
-    """Everything that one run showed."""
+    """All results of a run."""
 
     classes: list[ClassFigures]
     useful_tokens: int
@@ -48,7 +48,7 @@
     refusals: int
     false_refusals: int
     corrupted: int
-    doubled_orders: int
+    duplicate_orders: int
     false_order_refusals: int
     lost_confirmations: int
     broken_by_planned_stop: int
@@ -61,7 +61,7 @@
 
     @classmethod
     def from_run(cls, fleet, callers: Callers, seconds: float) -> "RunReport":
-        """Work out the figures; the stand-ins' counts must be collected."""
+        """Compute the figures; the counts of the stand-ins must be collected before."""
         outcomes = callers.outcomes
         engine_counts = fleet.engine_counts()
         started = {nonce for counts in engine_counts for nonce in counts["started"]}
@@ -88,7 +88,7 @@
             refusals=sum(each.verdict is Verdict.REFUSED for each in outcomes),
             false_refusals=sum(each.arrival.nonce in started for each in refused_unrun),
             corrupted=sum(each.verdict is Verdict.CORRUPTED for each in outcomes),
-            doubled_orders=sum(count > 1 for count in service.values()),
+            duplicate_orders=sum(count > 1 for count in service.values()),
             false_order_refusals=sum(
                 each.run == "no" and each.status != 428 and each.order in service
                 for each in callers.orders
@@ -102,26 +102,26 @@
             orders=len(callers.orders),
             codes=dict(Counter(each.code for each in outcomes if each.code)),
             prefix_hit_share=hits / starts if starts else 0.0,
-            inbound_ms=_delays(engine_counts, outcomes, "received_at"),
-            outbound_ms=_delays(engine_counts, outcomes, "emitted_at"),
+            inbound_ms=_compute_delays(engine_counts, outcomes, "received_at"),
+            outbound_ms=_compute_delays(engine_counts, outcomes, "emitted_at"),
         )
 
     @property
     def goodput(self) -> float:
-        """Useful tokens a second, within target."""
+        """Tokens per second of responses within target."""
         return self.useful_tokens / self.seconds
 
     @property
     def wasted_share(self) -> float:
-        """Share of the generated tokens that reached nobody as a whole answer."""
+        """Share of the generated tokens that are part of no complete response."""
         if not self.generated_tokens:
             return 0.0
         return max(0.0, 1 - self.delivered_tokens / self.generated_tokens)
 
     def checks(self) -> dict[str, bool]:
-        """Return what must hold in any run, by name."""
+        """Return the checks that hold in every run, by name."""
         return {
-            "no call doubled": self.doubled_orders == 0,
+            "no call doubled": self.duplicate_orders == 0,
             "no answer mixed up": self.corrupted == 0,
             "none cut by a planned stop": self.broken_by_planned_stop == 0,
             "every refusal true": self.false_refusals == 0
@@ -130,7 +130,7 @@
         }
 
     def table(self) -> str:
-        """Return the figures as a Markdown table and a few lines."""
+        """Return the figures as a Markdown table and some lines of text."""
         lines = [
             "| class | tier | asked | attained | late | refused | broken "
             "| first token p50 / p99 s |",
@@ -186,19 +186,24 @@
     return figures
 
 
-def _delays(
-    engine_counts: list[dict], outcomes: list[Outcome], what: str
+def _compute_delays(
+    engine_counts: list[dict], outcomes: list[Outcome], event: str
 ) -> tuple[float, float]:
-    """Return median and 99th percentile in milliseconds of one way's delay."""
-    at: dict[str, float] = {}
+    """Return median and 99th percentile of the delay of one direction, in ms."""
+    event_times: dict[str, float] = {}
     for counts in engine_counts:
-        for nonce, when in counts[what].items():
-            at[nonce] = min(when, at.get(nonce, when))
+        for nonce, when in counts[event].items():
+            event_times[nonce] = min(when, event_times.get(nonce, when))
     complete = [each for each in outcomes if each.verdict is Verdict.COMPLETE]
-    if what == "received_at":
-        pairs = [(each.sent_at, at.get(each.arrival.nonce)) for each in complete]
+    if event == "received_at":
+        pairs = [
+            (each.sent_at, event_times.get(each.arrival.nonce)) for each in complete
+        ]
     else:
-        pairs = [(at.get(each.arrival.nonce), each.first_token_at) for each in complete]
+        pairs = [
+            (event_times.get(each.arrival.nonce), each.first_token_at)
+            for each in complete
+        ]
     delays = [
         1000 * (after - before)
         for before, after in pairs
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/slopes.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/slopes.py
@@ -1,10 +1,10 @@
-"""Measure how costs grow: the slopes that docs/CAPACITY.md is worked out from.
+"""Measure how costs grow with sizes: the slopes behind docs/CAPACITY.md.
 
 ``decisions``  time of a decision against queue length and engines
 ``records``    time and memory of records against engines and teams
-``fleet``      processor time, memory and bytes of idle instances against their number
+``fleet``      CPU time, memory and bytes of idle instances against their number
 ``control``    messages and bytes on the links for each request
-``relay``      processor time of a streamed chunk against a bare relay
+``relay``      CPU time of a streamed chunk against a bare relay
 """
 
 import argparse
@@ -52,7 +52,7 @@
 
 
 def make_synthetic_records(engines: int, teams: int) -> bytes:
-    """Return a set with so many engines and teams, two classes and one model."""
+    """Return a configuration with two classes, one model, and engines and teams."""
     targets = {"first_token_s": 3000.0, "inter_token_s": 1.0, "total_s": 9000.0}
     records: list[dict[str, Any]] = [
         {"kind": "class", "schema": 2, "id": each, "tier": tier, "targets": targets}
@@ -90,10 +90,10 @@
 
 
 def measure_decision_us(engines: int, waiting: int, teams: int = 10) -> float:
-    """Return microseconds of one release, its decision, and a new request.
+    """Return the microseconds of a release, its decision, and a new request.
 
-    The pool is full and `waiting` requests wait throughout; the best of a few
-    rounds is taken, since others use the machine too.
+    The pool is full and `waiting` requests are queued throughout. The minimum over
+    rounds is returned, since other processes use the machine too.
     """
     view = parse_records(make_synthetic_records(engines, teams))
     scheduler = PoolScheduler.from_config("m", view, lambda engine, now: False)
@@ -130,22 +130,22 @@
 
 
 def _measure_memory(make: Callable[[], Any]) -> tuple[float, float]:
-    """Return megabytes kept by what `make` returns, and milliseconds to make it."""
+    """Return the size of what `make` returns in MB, and its creation time in ms."""
     make()
     gc.collect()
     started = time.perf_counter()
     make()
     took_ms = (time.perf_counter() - started) * 1e3
     tracemalloc.start()
-    kept = make()
+    result = make()
     size = tracemalloc.get_traced_memory()[0] / 2**20
     tracemalloc.stop()
-    del kept
+    del result
     return size, took_ms
 
 
 def measure_records() -> list[str]:
-    """Return the table of records' and schedulers' memory and time."""
+    """Return the table of memory and parse times of records and schedulers."""
     lines = [
         "| engines | teams | set KB | records MB | parse ms | one scheduler MB |",
         "|---|---|---|---|---|---|",
@@ -202,7 +202,7 @@
 
 
 def measure_fleet() -> list[str]:
-    """Return the table of idle instances' costs."""
+    """Return the table of the costs of idle instances."""
     lines = [
         "| instances | core of each | resident MB | KB/s sent by each | messages/s |",
         "|---|---|---|---|---|",
@@ -214,7 +214,7 @@
 
 
 async def _read_totals(fleet: Fleet) -> tuple[float, int, int]:
-    """Return processor time, bytes and messages of all instances so far."""
+    """Return the total CPU seconds, sent bytes and messages of all instances."""
     statuses = [await fleet.status(node) for node in fleet.nodes]
     cpu = sum(_read_cpu_s(node.process.pid) for node in fleet.nodes)
     sent = sum(each["links"]["bytes_sent"] for each in statuses)
@@ -223,7 +223,7 @@
 
 
 async def _measure_control(fraction: float) -> str:
-    """Run a load; return what the links carried for each request."""
+    """Run a load; return messages and bytes on the links per request."""
     deployment = replace(MANIZALES, service=False)
     async with Fleet.running(deployment, log_level="ERROR") as fleet:
         await trio.sleep(SETTLE_S)
@@ -248,7 +248,7 @@
 
 
 def measure_control() -> list[str]:
-    """Return the table of what each request costs on the links."""
+    """Return the table of messages and bytes on the links per request."""
     lines = [
         "| load | requests | messages a request | bytes a request |",
         "|---|---|---|---|",
@@ -262,7 +262,7 @@
 
 
 async def _run_streams(fleet: Fleet, address: str, pid: int) -> tuple[float, int]:
-    """Run the streams through an address; return its processor time and tokens."""
+    """Run streams through an address; return CPU seconds of `pid` and tokens."""
     client = Callers(fleet, [])
     client.started = trio.current_time()
     target = type("Target", (), {"caller_address": address})
@@ -273,9 +273,9 @@
             arrival = Arrival(0.0, STREAM_LOAD, "one", f"s{index}", STREAM_TOKENS, 0)
             outcomes.append(Outcome(arrival))
             nursery.start_soon(client._stream_completion, target, arrival, outcomes[-1])
-    whole = sum(each.verdict is Verdict.COMPLETE for each in outcomes)
-    if whole != STREAMS:
-        raise RuntimeError(f"only {whole} of {STREAMS} streams were whole")
+    complete = sum(each.verdict is Verdict.COMPLETE for each in outcomes)
+    if complete != STREAMS:
+        raise RuntimeError(f"only {complete} of {STREAMS} streams completed")
     return _read_cpu_s(pid) - before, sum(each.tokens for each in outcomes)
 
 
@@ -306,9 +306,12 @@
         finally:
             bare.kill()
             bare.wait()
-    ours = cpu / tokens * US
-    theirs = bare_cpu / bare_tokens * US
-    return f"| {step_ms:.0f} | {ours:.0f} | {theirs:.0f} | {ours / theirs:.2f} |"
+    router_us = cpu / tokens * US
+    bare_us = bare_cpu / bare_tokens * US
+    return (
+        f"| {step_ms:.0f} | {router_us:.0f} | {bare_us:.0f} "
+        f"| {router_us / bare_us:.2f} |"
+    )
 
 
 async def _wait_listening(fleet: Fleet, address: str) -> None:
@@ -341,7 +344,7 @@
 
 
 def main() -> int:
-    """Run the measures that are named, or all, and print their tables."""
+    """Run the named measurements, or all, and print their tables."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("measures", nargs="*", default=list(MEASURES))
     options = parser.parse_args()
