--- a/packages/buckthornwall-standins/src/buckthornwall_standins/tests/test_live.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/tests/test_live.py
@@ -1,4 +1,4 @@
-"""A fleet of real processes: callers' libraries, stops, kills and freezes."""
+"""A deployment of real processes: client libraries, stops, kills and freezes."""
 
 import subprocess
 import sys
@@ -19,16 +19,16 @@
 pytestmark = pytest.mark.live
 
 SECONDS = 8.0
-DISTURB_AT_S = 3.0
+FAULT_AT_S = 3.0
 FREEZE_S = 3.0
 PROMPT = "nonce={} length={}"
 
 
-def words(nonce, count):
+def make_completion(nonce, count):
     return "".join(f"{nonce}.{index} " for index in range(count))
 
 
-async def report_of(fleet, callers):
+async def collect_report(fleet, callers):
     await fleet.collect_counts()
     return RunReport.from_run(fleet, callers, SECONDS)
 
@@ -37,7 +37,7 @@
     return [each for each in callers.outcomes if each.arrival.load.tier == 0]
 
 
-async def test_the_openai_client_gets_whole_answers(small_deployment):
+async def test_openai_client_gets_complete_responses(small_deployment):
     async with Fleet.running(small_deployment) as fleet:
         node = fleet.nodes[0]
         client = openai.OpenAI(
@@ -52,13 +52,13 @@
             messages = [{"role": "user", "content": PROMPT.format(nonce, 12)}]
             plain = create(messages=messages).choices[0].message.content
             stream = create(messages=messages, stream=True)
-            parts = [chunk.choices[0].delta.content or "" for chunk in stream]
+            deltas = [chunk.choices[0].delta.content or "" for chunk in stream]
             text = client.completions.create(model=POOL, prompt=PROMPT.format(nonce, 5))
-            return plain, "".join(parts), text.choices[0].text
+            return plain, "".join(deltas), text.choices[0].text
 
         plain, streamed, text = await trio.to_thread.run_sync(ask, "q1")
-        assert plain == streamed == words("q1", 12)
-        assert text == words("q1", 5)
+        assert plain == streamed == make_completion("q1", 12)
+        assert text == make_completion("q1", 5)
         models = await trio.to_thread.run_sync(client.models.list)
         assert [model.id for model in models.data] == [POOL]
         with pytest.raises(openai.NotFoundError) as caught:
@@ -68,7 +68,7 @@
         assert caught.value.body["code"] == 1005
 
 
-async def test_the_scheduler_is_killed_under_load(
+async def test_killed_scheduler_breaks_no_urgent_request_of_others(
     small_deployment, make_callers, run_callers
 ):
     async with Fleet.running(small_deployment) as fleet:
@@ -78,14 +78,14 @@
         async def kill():
             fleet.kill(scheduler)
 
-        await run_callers(callers, SECONDS, DISTURB_AT_S, kill)
-        report = await report_of(fleet, callers)
+        await run_callers(callers, SECONDS, FAULT_AT_S, kill)
+        report = await collect_report(fleet, callers)
         assert all(report.checks().values()), report.table()
         others = [o for o in urgent_outcomes(callers) if o.node != scheduler.id]
         assert all(o.verdict is Verdict.COMPLETE for o in others), report.table()
 
 
-async def test_the_scheduler_is_frozen_and_wakes_under_load(
+async def test_frozen_scheduler_breaks_no_urgent_request_of_others(
     small_deployment, make_callers, run_callers
 ):
     async with Fleet.running(small_deployment) as fleet:
@@ -97,8 +97,8 @@
             await trio.sleep(FREEZE_S)
             fleet.thaw(scheduler)
 
-        await run_callers(callers, SECONDS, DISTURB_AT_S, freeze)
-        report = await report_of(fleet, callers)
+        await run_callers(callers, SECONDS, FAULT_AT_S, freeze)
+        report = await collect_report(fleet, callers)
         assert all(report.checks().values()), report.table()
         others = [o for o in urgent_outcomes(callers) if o.node != scheduler.id]
         assert all(o.verdict is Verdict.COMPLETE for o in others), report.table()
@@ -107,7 +107,7 @@
         assert status["state"] == "ready"
 
 
-async def test_the_scheduler_stops_as_planned_under_load(
+async def test_graceful_stop_of_scheduler_breaks_no_request(
     small_deployment, make_callers, run_callers
 ):
     async with Fleet.running(small_deployment) as fleet:
@@ -118,15 +118,15 @@
         async def stop():
             statuses.append(await fleet.stop(scheduler))
 
-        await run_callers(callers, SECONDS, DISTURB_AT_S, stop)
-        report = await report_of(fleet, callers)
+        await run_callers(callers, SECONDS, FAULT_AT_S, stop)
+        report = await collect_report(fleet, callers)
         assert statuses == [0]
         assert all(report.checks().values()), report.table()
         assert report.broken_elsewhere == 0, report.table()
         assert all(order.status == 200 for order in callers.orders)
 
 
-async def test_records_reach_all_though_the_platform_answers_one(small_deployment):
+async def test_configuration_reaches_instances_without_platform(small_deployment):
     six = replace(small_deployment, nodes=6)
     async with Fleet.running(six, platform_reachable_from=1) as fleet:
         started = trio.current_time()
@@ -140,16 +140,16 @@
         stale = make_records(six, 1, fleet.upstream_records())
         await fleet.publish(stale)
         await fleet.set_platform_fault(stale=True)
-        late = fleet.nodes[-1]
-        fleet.kill(late)
-        late.process.wait()
-        fleet.start_node(late)
-        await fleet.wait_ready(late)
+        restarted = fleet.nodes[-1]
+        fleet.kill(restarted)
+        restarted.process.wait()
+        fleet.start_node(restarted)
+        await fleet.wait_ready(restarted)
         for node in fleet.nodes:
             assert (await fleet.status(node))["records"]["number"] == 2
 
 
-async def test_an_upstream_that_leaves_is_soon_asked_for_nothing(
+async def test_leaving_upstream_gets_no_new_requests(
     small_deployment, make_callers, run_callers
 ):
     async with Fleet.running(small_deployment) as fleet:
@@ -169,8 +169,8 @@
         assert len(late_arrivals) >= 5
 
 
-def with_order(fleet, number, version):
-    """Return records that want an adapter in this version on every engine."""
+def make_adapter_records(fleet, number, version):
+    """Return a configuration that orders a version of an adapter on every engine."""
     upstreams = fleet.upstream_records()
     for record in upstreams:
         if record["type"] == "engine":
@@ -178,7 +178,7 @@
     return make_records(fleet.deployment, number, upstreams)
 
 
-async def adapters_are(fleet, version):
+async def wait_for_adapters(fleet, version):
     with trio.fail_after(10):
         for engine in fleet.engines():
             while True:
@@ -188,19 +188,19 @@
                 await trio.sleep(0.05)
 
 
-async def test_no_engine_is_moved_back_by_an_instance_that_after_freeze(
+async def test_instance_after_freeze_does_not_revert_adapters(
     small_deployment,
 ):
     ignoring = frozenset({f"{POOL}-1", f"{POOL}-2"})
     async with Fleet.running(
         small_deployment, engines_ignoring_fencing=ignoring
     ) as fleet:
-        await fleet.publish(with_order(fleet, 2, "v1"))
-        await adapters_are(fleet, "v1")
+        await fleet.publish(make_adapter_records(fleet, 2, "v1"))
+        await wait_for_adapters(fleet, "v1")
         for frozen in fleet.nodes[:2]:
             fleet.freeze(frozen)
-        await fleet.publish(with_order(fleet, 3, "v2"))
-        await adapters_are(fleet, "v2")
+        await fleet.publish(make_adapter_records(fleet, 3, "v2"))
+        await wait_for_adapters(fleet, "v2")
         for frozen in fleet.nodes[:2]:
             fleet.thaw(frozen)
         await trio.sleep(4.0)
@@ -211,7 +211,7 @@
             assert counts["adapters"] == {"kit": "v2"}
 
 
-async def test_the_operators_commands_read_a_fleet(small_deployment, tmp_path):
+async def test_operator_commands_read_running_deployment(small_deployment, tmp_path):
     async with Fleet.running(small_deployment) as fleet:
         addresses = [node.operator_address for node in fleet.nodes]
 
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/tests/test_races.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/tests/test_races.py
@@ -1,4 +1,4 @@
-"""Operators that race: with each other, with requests, with old instances."""
+"""Races of operators' changes with each other, with requests and with old instances."""
 
 import pytest
 import trio
@@ -13,7 +13,7 @@
 from .test_bad_input import post
 
 
-def run_beside_fleet(body):
+def run_with_fleet(body):
     async def main():
         async with MemoryFleet.running() as fleet:
             await body(fleet, CellRun(fleet, Cell(Step.RECEIVED, (Fault.NONE,))))
@@ -22,14 +22,14 @@
     trio.run(main, clock=MockClock(autojump_threshold=0))
 
 
-async def in_force(fleet, number):
+async def wait_in_force(fleet, number):
     await fleet.wait_until(
         lambda: all(node.node.store.number == number for node in fleet.running_nodes()),
         10,
     )
 
 
-def without(records, kind, ident):
+def remove_record(records, kind, ident):
     records["records"] = [
         each
         for each in records["records"]
@@ -38,21 +38,21 @@
     return records
 
 
-def test_of_two_sets_published_at_once_the_higher_is_in_force_everywhere():
+def test_lower_number_published_at_once_does_not_replace_higher():
     async def body(fleet, run):
         fleet.publish(3)
         fleet.publish(2)
         fleet.publish(3)
-        await in_force(fleet, 3)
+        await wait_in_force(fleet, 3)
         fleet.platform.serves_stale_records = True
         fleet.publish(2)
         await trio.sleep(5)
-        await in_force(fleet, 3)
+        await wait_in_force(fleet, 3)
 
-    run_beside_fleet(body)
+    run_with_fleet(body)
 
 
-def test_a_class_deleted_with_requests_waiting_gets_them_an_answer_at_once():
+def test_deleted_class_refuses_queued_requests_at_once():
     async def body(fleet, run):
         async with trio.open_nursery() as nursery:
             await fill_engines(run, nursery)
@@ -60,7 +60,7 @@
             nursery.start_soon(run.send, run.entry, waiting)
             await fleet.wait_until(lambda: run.entry.node.entry.pending)
             await trio.sleep(0.1)
-            records = without(fleet.records(2), "class", "low")
+            records = remove_record(fleet.records(2), "class", "low")
             for record in records["records"]:
                 if record["kind"] == "team":
                     record["classes"] = ["urgent", "routine"]
@@ -69,10 +69,10 @@
         assert (waiting.code, waiting.run) == (2005, "no")
         assert waiting.arrival.nonce not in fleet.started_nonces()
 
-    run_beside_fleet(body)
+    run_with_fleet(body)
 
 
-def test_a_key_replaced_mid_stream_cuts_nothing_off():
+def test_replaced_api_key_does_not_break_running_stream():
     async def body(fleet, run):
         async with trio.open_nursery() as nursery:
             outcome = run.new_outcome(run.entry, "urgent", 40)
@@ -83,15 +83,15 @@
                 if record["kind"] == "team":
                     record["key_sha256"] = ["0" * 64]
             fleet.publish(2, records)
-            await in_force(fleet, 2)
+            await wait_in_force(fleet, 2)
             status, body = await post(run, "/v1/chat/completions", b"{}")
             assert (status, body["error"]["code"]) == (401, 1004)
         assert outcome.verdict is Verdict.COMPLETE
 
-    run_beside_fleet(body)
+    run_with_fleet(body)
 
 
-def test_an_engine_leaving_at_the_moment_of_a_grant_gets_no_new_work_after_3_s():
+def test_engine_leaving_during_grant_gets_no_new_requests_after_3_s():
     async def body(fleet, run):
         leaving = next(iter(fleet.engines))
         async with trio.open_nursery() as nursery:
@@ -108,32 +108,32 @@
         assert fleet.engines[leaving].starts == before
         assert outcome.verdict is Verdict.COMPLETE
 
-    run_beside_fleet(body)
+    run_with_fleet(body)
 
 
-def test_a_record_of_a_newer_schema_leaves_the_rest_in_force():
+def test_record_of_newer_schema_does_not_block_the_others():
     async def body(fleet, run):
         records = fleet.records(2)
         records["records"].append({"kind": "class", "schema": 9, "id": "new"})
         fleet.publish(2, records)
-        await in_force(fleet, 2)
+        await wait_in_force(fleet, 2)
         assert (await run.request(run.entry, "urgent", 4)).verdict is Verdict.COMPLETE
         refused = run.entry.node.status()["records"]["refused"]
         assert [code for code, _ in refused] == [5002]
 
-    run_beside_fleet(body)
+    run_with_fleet(body)
 
 
-def test_an_invalid_set_leaves_the_one_in_force():
+def test_invalid_configuration_does_not_replace_current():
     async def body(fleet, run):
         fleet.publish(2, {"number": 2, "records": [{"kind": "class"}]})
         await trio.sleep(3)
-        await in_force(fleet, 1)
+        await wait_in_force(fleet, 1)
         assert "5001" in run.entry.node.status()["records"]["last_error"]
         fleet.publish(3)
-        await in_force(fleet, 3)
+        await wait_in_force(fleet, 3)
 
-    run_beside_fleet(body)
+    run_with_fleet(body)
 
 
 paths = st.sampled_from(
@@ -170,28 +170,28 @@
     suppress_health_check=[HealthCheck.too_slow],
 )
 @given(st.lists(st.tuples(paths, fragments), min_size=5, max_size=15))
-def test_no_body_crashes_an_instance_or_harms_another_caller(requests):
+def test_malformed_body_neither_crashes_instance_nor_breaks_other_stream(requests):
     async def body(fleet, run):
         async with trio.open_nursery() as nursery:
             outcome = run.new_outcome(run.entry, "urgent", 30)
             nursery.start_soon(run.send, run.entry, outcome)
             for path, text in requests:
-                status, answer = await post(run, path, text.encode())
+                status, response = await post(run, path, text.encode())
                 assert status != 500
-                assert answer["error"]["code"] >= 1001
+                assert response["error"]["code"] >= 1001
         assert outcome.verdict is Verdict.COMPLETE
 
-    run_beside_fleet(body)
+    run_with_fleet(body)
 
 
-def test_a_refused_request_is_never_answered_late():
+def test_refusal_is_not_later_than_first_token_target():
     async def body(fleet, run):
         records = fleet.records(2)
         for record in records["records"]:
             if record["kind"] == "upstream" and record["type"] == "engine":
                 record["slots"] = 1
         fleet.publish(2, records)
-        await in_force(fleet, 2)
+        await wait_in_force(fleet, 2)
         outcomes = []
 
         async def ask():
@@ -208,14 +208,14 @@
         for outcome, took_s in refused:
             assert took_s <= first_token_s + 0.2
             assert outcome.run == "no"
-        early = [took_s for outcome, took_s in refused if outcome.code == 2001]
-        assert early
-        assert max(early) == pytest.approx(0, abs=0.2)
+        early_s = [took_s for outcome, took_s in refused if outcome.code == 2001]
+        assert early_s
+        assert max(early_s) == pytest.approx(0, abs=0.2)
 
-    run_beside_fleet(body)
+    run_with_fleet(body)
 
 
-def test_an_answer_that_is_preempted_over_and_over_is_still_whole():
+def test_repeatedly_preempted_response_is_complete():
     async def body(fleet, run):
         async def preempt_all():
             while outcome.verdict is not Verdict.COMPLETE:
@@ -231,10 +231,10 @@
         assert outcome.verdict is Verdict.COMPLETE, outcome
         assert sum(engine.starts for engine in fleet.engines.values()) > 3
 
-    run_beside_fleet(body)
+    run_with_fleet(body)
 
 
-def test_an_answer_broken_before_its_closing_event_gains_no_word():
+def test_response_interrupted_before_closing_event_gains_no_token():
     async def body(fleet, run):
         outcome = run.new_outcome(run.entry, "low", 10)
         engines = fleet.engines.values()
@@ -248,4 +248,4 @@
             fleet.crash_engine(next(e.name for e in engines if e.running or e.starts))
         assert outcome.verdict is Verdict.COMPLETE, outcome
 
-    run_beside_fleet(body)
+    run_with_fleet(body)
