--- a/packages/buckthornwall-standins/src/buckthornwall_standins/bench.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/bench.py
@@ -80,14 +80,14 @@
             seconds,
             seed,
             case.rate(deployment, seconds),
-            case.flood(deployment, seconds),
+            case.team_factor(deployment, seconds),
         )
         one_way_delay_s = (1.0 + deployment.one_way_delay_ms) / 1000
         callers = Callers(
             fleet, arrivals, order_rate=3.0, one_way_delay_s=one_way_delay_s
         )
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(case.disturb, fleet, seconds)
+            nursery.start_soon(case.inject_faults, fleet, seconds)
             await callers.run(seconds)
             nursery.cancel_scope.cancel()
         await fleet.collect_counts()
@@ -129,7 +129,7 @@
             seconds,
             seed,
             case.rate(deployment, seconds),
-            case.flood(deployment, seconds),
+            case.team_factor(deployment, seconds),
         )
         callers = Callers(fleet, arrivals, backend=fleet.backend)
         await callers.run(seconds)
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/callers.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/callers.py
@@ -122,7 +122,7 @@
     seconds: float,
     seed: int,
     rate: Rate,
-    flood: Callable[[str, float], float] = lambda team, at: 1.0,
+    team_factor: Callable[[str, float], float] = lambda team, at: 1.0,
 ) -> list[Arrival]:
     """Sample the arrivals of a run.
 
@@ -136,7 +136,7 @@
         Seed of all samples.
     rate
         Demand of a class at a time, relative to its share of the pool's capacity.
-    flood
+    team_factor
         Factor on the arrival rate of a team at a time.
     """
     arrivals: list[Arrival] = []
@@ -151,14 +151,14 @@
                 team,
                 seconds,
                 generator,
-                _scale_rate(base_rate, rate, flood, load, team),
+                _scale_rate(base_rate, rate, team_factor, load, team),
             )
     arrivals.sort(key=lambda each: each.at)
     return arrivals
 
 
-def _scale_rate(base_rate: float, rate: Rate, flood, load: ClassLoad, team: str):
-    return lambda at: base_rate * rate(load, at) * flood(team, at)
+def _scale_rate(base_rate: float, rate: Rate, team_factor, load: ClassLoad, team: str):
+    return lambda at: base_rate * rate(load, at) * team_factor(team, at)
 
 
 def _team_arrivals(
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/cases.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/cases.py
@@ -30,7 +30,7 @@
     pass
 
 
-def _constant(fraction: float) -> Callable[[Deployment, float], Rate]:
+def _make_constant_rate(fraction: float) -> Callable[[Deployment, float], Rate]:
     return lambda deployment, seconds: lambda load, at: fraction
 
 
@@ -42,11 +42,11 @@
     return seconds / 3 <= at < 2 * seconds / 3
 
 
-def _storm(deployment: Deployment, seconds: float) -> Rate:
+def _overload_middle_third(deployment: Deployment, seconds: float) -> Rate:
     return lambda load, at: OVERLOAD if _is_middle_third(at, seconds) else LOW_LOAD
 
 
-def _burst(deployment: Deployment, seconds: float) -> Rate:
+def _burst_one_class(deployment: Deployment, seconds: float) -> Rate:
     """Multiply the demand of the first class that is not urgent by ten."""
     bursting = next(load.id for load in deployment.loads if load.tier)
 
@@ -60,7 +60,7 @@
     return rate
 
 
-def _flood(deployment: Deployment, seconds: float):
+def _flood_from_one_team(deployment: Deployment, seconds: float):
     """Multiply the arrivals of the largest team that is not urgent."""
     flooding = max(
         (team for load in deployment.loads if load.tier for team in load.teams),
@@ -76,7 +76,7 @@
     await fleet.set_engine_fault(fleet.engines()[0], slow=ENGINE_SLOWDOWN)
 
 
-async def _crashes(fleet: Fleet, seconds: float) -> None:
+async def _crash_engines(fleet: Fleet, seconds: float) -> None:
     """Crash two engines one after the other; each restarts later."""
     for engine in fleet.engines()[:2]:
         await trio.sleep(seconds / 4)
@@ -88,7 +88,7 @@
         fleet.start_upstream(engine)
 
 
-async def _late_reports(fleet: Fleet, seconds: float) -> None:
+async def _delay_load_reports(fleet: Fleet, seconds: float) -> None:
     for engine in fleet.engines():
         await fleet.set_engine_fault(engine, report_lag_s=REPORT_LAG_S)
 
@@ -106,14 +106,14 @@
     fleet.thaw(frozen)
 
 
-async def _cut(fleet: Fleet, seconds: float) -> None:
+async def _cut_links(fleet: Fleet, seconds: float) -> None:
     await trio.sleep(seconds / 4)
     await fleet.cut(fleet.nodes[: len(fleet.nodes) // 2])
     await trio.sleep(CUT_S)
     await fleet.cut([])
 
 
-async def _stale(fleet: Fleet, seconds: float) -> None:
+async def _serve_stale_records(fleet: Fleet, seconds: float) -> None:
     """Publish a configuration, then make the platform serve the older one again."""
     await trio.sleep(seconds / 4)
     fleet.config_number = 2
@@ -133,21 +133,38 @@
 
     name: str
     rate: Callable[[Deployment, float], Rate]
-    flood: Callable = _keep_team_rates
-    disturb: InjectFaults = _do_nothing
+    team_factor: Callable = _keep_team_rates
+    inject_faults: InjectFaults = _do_nothing
     relayed: bool = False
     engines_fail: bool = False
 
 
 CASES = [
-    Case("even", _constant(NORMAL_LOAD)),
-    Case("storm", _storm),
-    Case("burst", _burst),
-    Case("flood", _constant(LOW_LOAD), flood=_flood),
-    Case("slow-engine", _constant(NORMAL_LOAD), disturb=_slow_engine),
-    Case("crashes", _constant(LOW_LOAD), disturb=_crashes, engines_fail=True),
-    Case("late-reports", _constant(HIGH_LOAD), disturb=_late_reports),
-    Case("kill-and-freeze", _constant(LOW_LOAD), disturb=_kill_and_freeze),
-    Case("cut", _constant(NORMAL_LOAD), disturb=_cut, relayed=True),
-    Case("stale-records", _constant(LOW_LOAD), disturb=_stale),
+    Case("even", _make_constant_rate(NORMAL_LOAD)),
+    Case("storm", _overload_middle_third),
+    Case("burst", _burst_one_class),
+    Case("flood", _make_constant_rate(LOW_LOAD), team_factor=_flood_from_one_team),
+    Case("slow-engine", _make_constant_rate(NORMAL_LOAD), inject_faults=_slow_engine),
+    Case(
+        "crashes",
+        _make_constant_rate(LOW_LOAD),
+        inject_faults=_crash_engines,
+        engines_fail=True,
+    ),
+    Case(
+        "late-reports",
+        _make_constant_rate(HIGH_LOAD),
+        inject_faults=_delay_load_reports,
+    ),
+    Case(
+        "kill-and-freeze", _make_constant_rate(LOW_LOAD), inject_faults=_kill_and_freeze
+    ),
+    Case(
+        "cut", _make_constant_rate(NORMAL_LOAD), inject_faults=_cut_links, relayed=True
+    ),
+    Case(
+        "stale-records",
+        _make_constant_rate(LOW_LOAD),
+        inject_faults=_serve_stale_records,
+    ),
 ]
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/demo.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/demo.py
@@ -23,7 +23,7 @@
 COUNTS_INTERVAL_S = 0.5
 
 
-async def _disturb(fleet: Fleet, seconds: float) -> None:
+async def _inject_faults(fleet: Fleet, seconds: float) -> None:
     """Stop an instance gracefully, kill another one, and crash an engine."""
     started = trio.current_time()
     stopped, killed = fleet.nodes[0], fleet.nodes[1]
@@ -84,7 +84,7 @@
             nursery.start_soon(_collect_forever, fleet)
             async with trio.open_nursery() as load:
                 load.start_soon(callers.run, seconds)
-                load.start_soon(_disturb, fleet, seconds)
+                load.start_soon(_inject_faults, fleet, seconds)
                 load.start_soon(_show_progress, seconds)
             nursery.cancel_scope.cancel()
         await fleet.collect_counts()
