--- a/packages/buckthornwall-standins/src/buckthornwall_standins/cases.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/cases.py
@@ -47,7 +47,7 @@
 
 
 def _burst_one_class(deployment: Deployment, seconds: float) -> Rate:
-    """Multiply the demand of the first class that is not urgent by ten."""
+    """Multiply the demand of the first non-urgent class by ten for the middle third."""
     bursting = next(load.id for load in deployment.loads if load.tier)
 
     def rate(load: ClassLoad, at: float) -> float:
@@ -61,7 +61,7 @@
 
 
 def _flood_from_one_team(deployment: Deployment, seconds: float):
-    """Multiply the arrivals of the largest team that is not urgent."""
+    """Multiply the arrivals of the largest non-urgent team after a quarter."""
     flooding = max(
         (team for load in deployment.loads if load.tier for team in load.teams),
         key=lambda each: each[1],
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/memory.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/memory.py
@@ -145,7 +145,7 @@
             stream.close()
 
     def cut(self, one: str, other: str) -> None:
-        """Drop the path between two hosts without closing connections."""
+        """Block the path between two hosts without closing connections."""
         self.cut_paths.add(frozenset((one, other)))
 
     def freeze(self, host: str) -> None:
