--- a/packages/buckthornwall-ctl/src/buckthornwall_ctl/main.py
+++ b/packages/buckthornwall-ctl/src/buckthornwall_ctl/main.py
@@ -58,7 +58,7 @@
     watch.add_argument("address", nargs="+", metavar="IP:PORT")
     watch.add_argument("--every", type=float, default=2.0, metavar="SECONDS")
     watch.add_argument(
-        "--times", type=int, default=0, help="stop after so many refreshes"
+        "--times", type=int, default=0, help="stop after this many refreshes"
     )
     watch.set_defaults(run=_watch)
 
--- a/packages/buckthornwall-standins/src/buckthornwall_standins/__init__.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/__init__.py
@@ -1,23 +1,23 @@
 """Stand-ins for the systems around buckthornwall; for tests, never shipped.
 
-============== ===========================================================
-`users_platform` the users' platform by its published protocol
-`platform`     configuration service and list of instances
-`engine`       a model engine with continuous batching
-`service`      a plain service whose calls may not be repeated
-`callers`      open-loop load, seeded, counting what callers see
-`deployments`  sizes and records of Manizales and Cascade
-`listings`     records and list of a fleet, as both fleets publish them
-`fleet`        starts and disturbs all of these as real processes
-`memory_fleet` the same in one trio run, on a network in memory
-`faults`       the fault matrix
-`model`        specifications and their model checking
-`pool_sim`     a pool in simulated time, played against the pure decisions
-`cases`        the loads and disturbances of the bench
-`bound`        what an all-knowing scheduler would have served
-`slopes`       how costs grow with sizes
-`report`       tables of attainment, goodput and wasted work
-`demo`         the demonstration that ``make demo`` runs
-`bench`        the comparison of policies that ``make bench`` runs
-============== ===========================================================
+================ ==========================================================
+`users_platform` the users' platform, following its published protocol
+`platform`       configuration service and list of instances
+`engine`         a model engine with continuous batching
+`service`        a plain service whose calls may not be repeated
+`callers`        open-loop load, seeded, counting what callers see
+`deployments`    sizes and records of Manizales and Cascade
+`listings`       records and list of a fleet, as both fleets publish them
+`fleet`          runs all of these as real processes and injects faults
+`memory_fleet`   the same in one trio run, on an in-memory network
+`faults`         the fault matrix
+`model`          specifications and their model checking
+`pool_sim`       simulation of a pool around its placement decisions
+`cases`          the loads and injected faults of the bench
+`bound`          tokens served by a scheduler with perfect knowledge
+`slopes`         how costs grow with sizes
+`report`         tables of attainment, goodput and wasted work
+`demo`           the demonstration that ``make demo`` runs
+`bench`          the comparison of policies that ``make bench`` runs
+================ ==========================================================
 """
--- a/packages/buckthornwall/src/buckthornwall/forwarding/forwarder.py
+++ b/packages/buckthornwall/src/buckthornwall/forwarding/forwarder.py
@@ -45,7 +45,7 @@
 
 __all__ = ["Forwarder", "ForwardingSettings"]
 
-# Statuses that tell a client that its request was not and will not be run. They are
+# Statuses that mean to a client that its request was not and will not be run. They are
 # never used for a request that may have run.
 NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
 BAD_GATEWAY = 502
--- a/packages/buckthornwall/src/buckthornwall/idempotency/agent.py
+++ b/packages/buckthornwall/src/buckthornwall/idempotency/agent.py
@@ -73,7 +73,7 @@
     is_up
         Returns whether the link to an instance is up.
     dispatch
-        Runs a call once; raises `UpstreamError`, which tells whether it was sent.
+        Runs a call once; raises `UpstreamError`, whose `sent` says whether it was sent.
     """
 
     def __init__(
@@ -128,7 +128,7 @@
         Raises
         ------
         Refusal
-            If the call did not run, or if that is unknown; `run` tells which.
+            If the call did not run, or if that is unknown; `run` says which.
         """
         key = self.key_codec.decode(text)
         if key is None:
--- a/packages/buckthornwall/src/buckthornwall/idempotency/transfer.py
+++ b/packages/buckthornwall/src/buckthornwall/idempotency/transfer.py
@@ -186,7 +186,7 @@
         self.retry_forwards()
 
     def send_moves(self, node: NodeId) -> None:
-        """Tell a peer whose link has come up which instances hold moved ledgers."""
+        """Send a peer whose link came up the instances that hold moved ledgers."""
         for (owner, incarnation), successor in self.successors.items():
             self.send(node, LedgerMoved(owner, incarnation, successor))
         for owner, incarnation in self.ledgers:
--- a/packages/buckthornwall/src/buckthornwall/platform/names.py
+++ b/packages/buckthornwall/src/buckthornwall/platform/names.py
@@ -14,7 +14,7 @@
 # ID:TOKENS of each prompt segment in order; the last belongs to the request alone.
 PROMPT_SEGMENTS = PREFIX + b"prompt-prefix"
 MODEL = PREFIX + b"model"
-# From 0, the most urgent, to 9.
+# From 0 (first) to 9 (last).
 PRIORITY = PREFIX + b"request-priority"
 SIGNATURE = PREFIX + b"response-seal"
 NOT_RUN = PREFIX + b"not-executed"
--- a/packages/buckthornwall/src/buckthornwall/pools/ledger.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/ledger.py
@@ -10,7 +10,7 @@
 
 __all__ = ["AdmissionLedger"]
 
-# Older decisions tell nothing about the present load.
+# Older decisions do not reflect the present load.
 WINDOW_S = 10.0
 
 
--- a/packages/buckthornwall/src/buckthornwall/pools/rate_limit.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/rate_limit.py
@@ -26,7 +26,7 @@
 
 UNLIMITED = math.inf
 MS_PER_S = 1000.0
-# Seconds for which peers are told that an upstream no longer advertises a limit.
+# Seconds for which the end of an upstream's advertised limit is reported to peers.
 LIFTED_LIMIT_REPORT_S = 10.0
 # Size of a burst in seconds of the local share; one request at least.
 BURST_S = 0.25
--- a/packages/buckthornwall/src/buckthornwall/pools/reachability.py
+++ b/packages/buckthornwall/src/buckthornwall/pools/reachability.py
@@ -19,7 +19,7 @@
 REPORT_TTL_S = 0.6
 # One or two instances may be cut off themselves, or have met a full listener.
 MIN_REPORTERS = 3
-# A response to this instance within so many seconds overrides the reports of peers.
+# A response to this instance within this many seconds overrides the reports of peers.
 ANSWER_TTL_S = 1.0
 
 
