--- a/packages/buckthornwall-standins/src/buckthornwall_standins/__init__.py
+++ b/packages/buckthornwall-standins/src/buckthornwall_standins/__init__.py
@@ -12,7 +12,7 @@
 `memory_fleet`   the same in one trio run, on an in-memory network
 `faults`         the fault matrix
 `model`          specifications and their model checking
-`pool_sim`       simulation of a pool around its placement decisions
+`pool_sim`       a pool in simulated time, with the product's decisions
 `cases`          the loads and injected faults of the bench
 `bound`          tokens served by a scheduler with perfect knowledge
 `slopes`         how costs grow with sizes
